--- a/src/groups/acknowledgement.ts
+++ b/src/groups/acknowledgement.ts
@@ -1,22 +1,26 @@
-/** Decides when a committed write may be acknowledged. */
+/** Decides when a committed write may be acknowledged to its caller. */
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import type {Position} from '../session/position.js';
 import {DONE, mayHaveRun, type Verdict} from '../verdict/verdict.js';
-import {ConfirmLane, type AckMode, type PendingWrite} from './confirm-lane.js';
+import {
+  ReplicaConfirmer,
+  type AckMode,
+  type PendingWrite,
+} from './replica-confirmer.js';
 import {majorityOf} from './group-view.js';
 import type {DatabaseControl} from './types.js';
 
-export type {AckMode} from './confirm-lane.js';
+export type {AckMode} from './replica-confirmer.js';
 
 /** The outcome of waiting for an acknowledgement. */
 export type AckResult =
   | {readonly kind: 'acknowledged'}
-  /** Too many databases are fenced above the write's term. */
+  /** Too many replicas are fenced above the write's term to confirm it. */
   | {readonly kind: 'superseded'; readonly term: number}
   | {readonly kind: 'timeout'};
 
-/** A write that its primary has committed. */
+/** A write that its primary has committed and that awaits acknowledgement. */
 export interface CommittedWrite {
   readonly primaryId: string;
   /** The position that the primary reported; its term is the primary's. */
@@ -25,7 +29,7 @@
   readonly timeoutMs: number;
 }
 
-/** Settings of a tracker. */
+/** Options of {@link AckTracker}. */
 export interface AckTrackerOptions {
   readonly clock: Clock;
   /** All databases of the group. */
@@ -35,16 +39,16 @@
 /**
  * Acknowledges the writes of one group.
  *
- * A failover fences a majority of the databases before it promotes. A write of
- * term t is acknowledged only once enough databases have confirmed that every
- * majority contains the primary or one of them. Then no promotion of a later
- * term was possible when the primary committed; and with `ack=replica` each
- * later one starts from a log that holds the write.
+ * A failover fences a majority of the databases before it promotes one. A write
+ * of term t is acknowledged only once so many replicas have confirmed it that
+ * every majority contains the primary or one of these replicas. Therefore no
+ * later term can have been promoted before the primary committed, and with
+ * `ack=replica` every later promotion starts from a log that holds the write.
  */
 export class AckTracker {
   readonly #clock: Clock;
   readonly #controls: readonly DatabaseControl[];
-  readonly #lanes = new Map<string, ConfirmLane>();
+  readonly #confirmers = new Map<string, ReplicaConfirmer>();
 
   constructor({clock, controls}: AckTrackerOptions) {
     this.#clock = clock;
@@ -52,20 +56,21 @@
   }
 
   /**
-   * Waits until the write may be acknowledged, or can't be.
+   * Waits until the write is confirmed, superseded or timed out.
    *
    * @example
    * const result = await tracker.acknowledge({primaryId, position,
    *   ack: 'replica', timeoutMs: 1000});
    */
   async acknowledge(write: CommittedWrite): Promise<AckResult> {
-    const others = this.#controls.filter(
+    const replicas = this.#controls.filter(
       ({spec}) => spec.id !== write.primaryId,
     );
     const needed = majorityOf(this.#controls.length) - 1;
     if (needed === 0) return {kind: 'acknowledged'};
-    const pending = new WaitingWrite(write, needed, others.length);
-    for (const control of others) this.#laneOf(control, write.ack).add(pending);
+    const pending = new WaitingWrite(write, needed, replicas.length);
+    for (const control of replicas)
+      this.#confirmerOf(control, write.ack).add(pending);
     const cancel = startTimer(this.#clock, write.timeoutMs, () =>
       pending.settle({kind: 'timeout'}),
     );
@@ -74,18 +79,18 @@
     return result;
   }
 
-  #laneOf(control: DatabaseControl, mode: AckMode): ConfirmLane {
+  #confirmerOf(control: DatabaseControl, mode: AckMode): ReplicaConfirmer {
     const key = `${mode} ${control.spec.id}`;
-    let lane = this.#lanes.get(key);
-    if (lane === undefined) {
-      lane = new ConfirmLane(this.#clock, control, mode);
-      this.#lanes.set(key, lane);
+    let confirmer = this.#confirmers.get(key);
+    if (confirmer === undefined) {
+      confirmer = new ReplicaConfirmer(this.#clock, control, mode);
+      this.#confirmers.set(key, confirmer);
     }
-    return lane;
+    return confirmer;
   }
 }
 
-/** The verdict of a write whose acknowledgement ended so. */
+/** Maps the outcome of an acknowledgement to the write's verdict. */
 export function ackVerdict(result: AckResult): Verdict {
   switch (result.kind) {
     case 'acknowledged':
@@ -104,22 +109,23 @@
   }
 }
 
+/** A write whose confirmations and fences are being counted. */
 class WaitingWrite implements PendingWrite {
   readonly term: number;
   readonly position: Position;
   readonly result: Promise<AckResult>;
   readonly #needed: number;
-  readonly #asked: number;
+  readonly #replicaCount: number;
   readonly #confirmed = new Set<string>();
   readonly #fenced = new Set<string>();
   #resolve: (result: AckResult) => void = () => {};
   #waiting = true;
 
-  constructor(write: CommittedWrite, needed: number, asked: number) {
+  constructor(write: CommittedWrite, needed: number, replicaCount: number) {
     this.term = write.position.term;
     this.position = write.position;
     this.#needed = needed;
-    this.#asked = asked;
+    this.#replicaCount = replicaCount;
     this.result = new Promise(resolve => (this.#resolve = resolve));
   }
 
@@ -136,7 +142,7 @@
 
   onFenced(databaseId: string, fencedTerm: number): void {
     this.#fenced.add(databaseId);
-    if (this.#asked - this.#fenced.size < this.#needed) {
+    if (this.#replicaCount - this.#fenced.size < this.#needed) {
       this.settle({kind: 'superseded', term: fencedTerm});
     }
   }
--- a/src/groups/evidence.ts
+++ b/src/groups/evidence.ts
@@ -1,57 +1,70 @@
-/** Decides from what several parties see whether a group needs a failover. */
+/**
+ * Decides whether a group needs a failover, from this node's view of the
+ * databases and from what other nodes can reach.
+ */
 import {majorityOf, type DatabaseView, type GroupView} from './group-view.js';
 import type {DatabaseStatus} from './types.js';
 
 const UNREACHABLE_MS = 600;
 const UPSTREAM_SILENT_MS = 700;
-/** A status older than this says nothing about the present. */
-const FRESH_STATUS_MS = 600;
-/** Nodes whose word counts on whether a database can be reached. */
-const PROBERS = 3;
+/** An older status is ignored. */
+const MAX_STATUS_AGE_MS = 600;
+/**
+ * Minimum number of votes, this node's included, on whether a database can be
+ * reached. Missing votes count as "reachable".
+ */
+const MIN_VOTERS = 3;
 
-/** Asks other nodes what they see. */
+/** Port to the other nodes: queries which databases they can reach. */
 export interface EvidencePort {
   /**
-   * Asks two other nodes or more whether they reach a database now. Nodes that
-   * don't answer within some 100 ms are left out of the result: a failover
-   * waits for it.
+   * Asks at least two other nodes whether they can reach a database now. Nodes
+   * that don't answer within about 100 ms are left out of the result, because
+   * a failover waits for it.
    */
   canReach(groupName: string, databaseId: string): Promise<readonly boolean[]>;
 }
 
 /** Why a failover is needed. */
 export type FailoverCause =
-  /** Most nodes asked can't reach the primary. */
+  /** A majority of the voting nodes can't reach the primary. */
   | 'primaryUnreachable'
-  /** Most replicas hear nothing of the primary, whoever else reaches it. */
+  /**
+   * A majority of the replicas receive nothing from the primary, even if nodes
+   * reach it.
+   */
   | 'primaryIsolated'
-  /** No database leads. */
+  /** No database is primary. */
   | 'noPrimary'
-  /** A database is fenced above the primary's term by an order left undone. */
+  /** An unfinished failover left a database fenced above the primary's term. */
   | 'unfinishedFence';
 
-/** What one node's own view suggests. */
+/** The assessment of a group from one node's view alone. */
 export type Suspicion =
   | {readonly kind: 'healthy'}
-  /** The node reaches too few databases to judge or to order anything. */
-  | {readonly kind: 'blind'}
+  /**
+   * The node reaches no majority, so it can neither judge nor order a failover.
+   */
+  | {readonly kind: 'noMajority'}
   | {readonly kind: 'suspected'; readonly cause: FailoverCause};
 
-/** Whether a failover is needed. */
+/**
+ * The assessment of a group from this node's view and the other nodes' votes.
+ */
 export type Need =
   | {readonly kind: 'healthy'}
-  | {readonly kind: 'blind'}
-  /** Only this node fails to reach the primary. */
+  | {readonly kind: 'noMajority'}
+  /** Other nodes reach the primary; only this node's link to it is faulty. */
   | {readonly kind: 'linkFault'; readonly databaseId: string}
   | {
       readonly kind: 'needed';
       readonly cause: FailoverCause;
-      /** The primary that lost its place, where there is one. */
+      /** The primary to replace; undefined if there is none or it may stay. */
       readonly suspectId: string | undefined;
     };
 
 /**
- * What a view of the group suggests, without asking anybody.
+ * Assesses a group from this node's view, without querying other nodes.
  *
  * @example
  * suspect(monitor.current()).kind === 'healthy';
@@ -59,7 +72,7 @@
 export function suspect(view: GroupView): Suspicion {
   const {databases, primaryId, term} = view;
   const fresh = databases.filter(isFresh);
-  if (fresh.length < majorityOf(databases.length)) return {kind: 'blind'};
+  if (fresh.length < majorityOf(databases.length)) return {kind: 'noMajority'};
   const primary = databases.find(({spec}) => spec.id === primaryId);
   if (primary === undefined) {
     return isLeaderless(view) ? suspected('noPrimary') : {kind: 'healthy'};
@@ -75,13 +88,13 @@
 }
 
 /**
- * Weighs a view together with what other nodes see. A primary that only this
- * node fails to reach stays: otherwise the flapping link of one node would
- * order one failover after another.
+ * Assesses a group from this node's view and, where the primary is unreachable,
+ * the other nodes' votes. A primary that only this node fails to reach stays:
+ * otherwise one node's flapping link would cause one failover after another.
  */
-export async function assessNeed(
+export async function assessFailoverNeed(
   view: GroupView,
-  evidence: EvidencePort,
+  reachability: EvidencePort,
 ): Promise<Need> {
   const suspicion = suspect(view);
   if (suspicion.kind !== 'suspected') return suspicion;
@@ -93,30 +106,32 @@
   if (cause === 'primaryIsolated') {
     return {kind: 'needed', cause, suspectId: primaryId};
   }
-  const others = await evidence.canReach(view.name, primaryId).catch(() => []);
-  const against = 1 + others.filter(reached => !reached).length;
-  const probers = Math.max(PROBERS, 1 + others.length);
-  if (against >= majorityOf(probers)) {
+  const peerVotes = await reachability
+    .canReach(view.name, primaryId)
+    .catch(() => []);
+  const unreachableVotes = 1 + peerVotes.filter(reached => !reached).length;
+  const voters = Math.max(MIN_VOTERS, 1 + peerVotes.length);
+  if (unreachableVotes >= majorityOf(voters)) {
     return {kind: 'needed', cause, suspectId: primaryId};
   }
   return {kind: 'linkFault', databaseId: primaryId};
 }
 
-type FreshView = DatabaseView & {readonly status: DatabaseStatus};
+type FreshDatabaseView = DatabaseView & {readonly status: DatabaseStatus};
 
 function suspected(cause: FailoverCause): Suspicion {
   return {kind: 'suspected', cause};
 }
 
-/** Whether a database gave its status just now. */
-function isFresh(database: DatabaseView): database is FreshView {
+/** Whether a database is reachable and its last status is recent. */
+function isFresh(database: DatabaseView): database is FreshDatabaseView {
   const {status, reachable, ageMs} = database;
-  return status !== undefined && reachable && ageMs <= FRESH_STATUS_MS;
+  return status !== undefined && reachable && ageMs <= MAX_STATUS_AGE_MS;
 }
 
 /**
- * Whether no database leads. One that can't be reached may still do, as long
- * as a replica hears from it.
+ * Whether no database can be primary. A database that can't be reached may
+ * still be, as long as a replica receives from it.
  */
 function isLeaderless({databases, term}: GroupView): boolean {
   const fresh = databases.filter(isFresh);
@@ -130,6 +145,7 @@
   );
 }
 
+/** Whether a majority of the replicas receive nothing from the primary. */
 function isIsolated({databases, primaryId}: GroupView): boolean {
   const replicas = databases.filter(({spec}) => spec.id !== primaryId);
   const silent = replicas
--- a/src/groups/failover-agent.ts
+++ b/src/groups/failover-agent.ts
@@ -1,8 +1,8 @@
-/** Watches one group and orders a failover when it needs one. */
+/** Monitors one group and starts a failover when the group needs one. */
 import type {Clock, Random} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import {
-  assessNeed,
+  assessFailoverNeed,
   suspect,
   type EvidencePort,
   type FailoverCause,
@@ -15,24 +15,30 @@
 import type {DatabaseControl} from './types.js';
 
 const CHECK_PERIOD_MS = 50;
-/** The period while every database answers and hears of its primary. */
-const CALM_CHECK_PERIOD_MS = 200;
-/** How often other nodes are asked about a primary that they do reach. */
-const LINK_FAULT_PAUSE_MS = 500;
-/** Spreads the nodes that notice at once, so that mostly one orders. */
+/** Period while every database answers and receives from its primary. */
+const HEALTHY_CHECK_PERIOD_MS = 200;
+/** Pause before other nodes are asked again about a primary that they reach. */
+const LINK_FAULT_RECHECK_MS = 500;
+/**
+ * Spreads nodes that detect a fault at the same time, so that usually one
+ * orders.
+ */
 const ORDER_JITTER_MS = 100;
 const FIRST_BACKOFF_MS = 100;
 const MAX_BACKOFF_MS = 1_600;
 
-/** How long each cause must last, since another node's order may be under way. */
-const SETTLE_MS: Readonly<Record<FailoverCause, number>> = {
+/**
+ * How long each cause must persist before a failover is ordered, since another
+ * node's failover may be in progress.
+ */
+const MIN_CAUSE_DURATION_MS: Readonly<Record<FailoverCause, number>> = {
   primaryUnreachable: 0,
   primaryIsolated: 0,
   noPrimary: 300,
   unfinishedFence: 2_000,
 };
 
-/** What an agent did or saw. */
+/** What an agent reports: a fault of its own link, or a failover it ordered. */
 export type FailoverEvent =
   | {readonly kind: 'linkFault'; readonly databaseId: string}
   | {
@@ -41,21 +47,22 @@
       readonly result: FailoverResult;
     };
 
-/** Settings of an agent. */
+/** Options of {@link FailoverAgent}. */
 export interface FailoverAgentOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly monitor: GroupMonitor;
   readonly controls: readonly DatabaseControl[];
   readonly evidence: EvidencePort;
-  /** Unique to this run of this VM. */
+  /** Unique to this process of this VM; a restart needs a new one. */
   readonly instanceId: string;
   readonly rank?: DatabaseRank;
   readonly onEvent?: (event: FailoverEvent) => void;
 }
 
 /**
- * Orders the failovers of one group. Any number of nodes may run one at once.
+ * Orders the failovers of one group. Any number of nodes may run an agent for
+ * the same group at once.
  *
  * @example
  * const agent = new FailoverAgent({clock, random, monitor, controls, evidence,
@@ -67,8 +74,8 @@
   readonly #stopping = new AbortController();
   #attempts = 0;
   #held = false;
-  /** When to ask other nodes again after they contradicted. */
-  #askOthersAt = -Infinity;
+  /** Earliest time to query other nodes again after a link fault. */
+  #peerRecheckAt = -Infinity;
 
   constructor(options: FailoverAgentOptions) {
     this.#options = options;
@@ -82,16 +89,17 @@
     this.#stopping.abort();
   }
 
-  /** Orders nothing until released, as during a planned switch. */
+  /** Suspends failovers until {@link release}, as during a planned switch. */
   hold(): void {
     this.#held = true;
   }
 
+  /** Allows failovers again after {@link hold}. */
   release(): void {
     this.#held = false;
   }
 
-  /** The name of this node's next attempt; each attempt needs its own. */
+  /** A new orderer id; each attempt needs its own. */
   nextOrderer(): string {
     this.#attempts += 1;
     return `${this.#options.instanceId}/${this.#attempts}`;
@@ -111,15 +119,18 @@
   #pause(failures: number): Promise<void> {
     const {clock, monitor} = this.#options;
     const {signal} = this.#stopping;
-    if (failures > 0) return clock.sleep(this.#backOff(failures), signal);
+    if (failures > 0) return clock.sleep(this.#backoffMs(failures), signal);
     const {isUneasy} = monitor;
-    const periodMs = isUneasy ? CHECK_PERIOD_MS : CALM_CHECK_PERIOD_MS;
+    const periodMs = isUneasy ? CHECK_PERIOD_MS : HEALTHY_CHECK_PERIOD_MS;
     return sleepToTick(clock, periodMs, signal);
   }
 
-  /** Orders a failover if one is needed. */
+  /**
+   * Orders a failover if a cause persists and the group's state still requires
+   * it.
+   */
   async #checkOnce(): Promise<FailoverResult | undefined> {
-    const cause = await this.#lastingCause();
+    const cause = await this.#persistentCause();
     if (cause === undefined) return undefined;
     const {clock, random, monitor, controls, rank} = this.#options;
     const {signal} = this.#stopping;
@@ -137,8 +148,11 @@
     return result;
   }
 
-  /** The cause of a failover that has lasted for long enough. */
-  async #lastingCause(): Promise<FailoverCause | undefined> {
+  /**
+   * Returns the cause of a needed failover once it has persisted for
+   * `MIN_CAUSE_DURATION_MS`; undefined if it goes away or changes before.
+   */
+  async #persistentCause(): Promise<FailoverCause | undefined> {
     const {clock} = this.#options;
     const since = clock.now();
     let cause: FailoverCause | undefined;
@@ -149,7 +163,7 @@
       if (need.cause !== cause || this.#stopping.signal.aborted) {
         return undefined;
       }
-      if (clock.now() - since >= SETTLE_MS[cause]) return cause;
+      if (clock.now() - since >= MIN_CAUSE_DURATION_MS[cause]) return cause;
       await clock.sleep(CHECK_PERIOD_MS, this.#stopping.signal);
     }
   }
@@ -158,19 +172,20 @@
     const {clock, monitor, evidence} = this.#options;
     const view = monitor.current();
     const suspicion = suspect(view);
-    const asksOthers =
+    const needsPeerVotes =
       suspicion.kind === 'suspected' &&
       suspicion.cause === 'primaryUnreachable';
-    if (asksOthers && clock.now() < this.#askOthersAt) return {kind: 'healthy'};
-    const need = await assessNeed(view, evidence);
+    if (needsPeerVotes && clock.now() < this.#peerRecheckAt)
+      return {kind: 'healthy'};
+    const need = await assessFailoverNeed(view, evidence);
     if (need.kind !== 'linkFault') return need;
-    this.#askOthersAt = clock.now() + LINK_FAULT_PAUSE_MS;
+    this.#peerRecheckAt = clock.now() + LINK_FAULT_RECHECK_MS;
     this.#options.onEvent?.(need);
     return need;
   }
 
-  /** Jittered, so that two nodes that outbid each other part. */
-  #backOff(failures: number): number {
+  /** Exponential with jitter, so that nodes that outbid each other separate. */
+  #backoffMs(failures: number): number {
     const ceilingMs = Math.min(
       MAX_BACKOFF_MS,
       FIRST_BACKOFF_MS * 2 ** (failures - 1),
--- a/src/groups/failover-duty.ts
+++ b/src/groups/failover-duty.ts
@@ -1,28 +1,30 @@
 /**
- * The duty to name a group's primary: one node at a time, under a fencing
- * token that rises with every order.
+ * The failover lease of a group: it entitles one node at a time to promote a
+ * database, under a fencing token that rises with every promotion order.
  *
- * The duty is a key of the store under the holder's lease, written only on the
- * condition that nobody else holds it. Its revision is the token: revisions
- * rise for the whole store. An order whose answer was lost may still be
- * carried out later, so every order takes a token of its own.
+ * The lease is a key in the store, attached to the holder's own store lease and
+ * written by compare-and-swap, so that only one node can hold it. The key's
+ * revision is the fencing token; revisions rise over the whole store. An order
+ * whose answer was lost may still be carried out later, so every order takes a
+ * new token.
  */
 import {LeaseGoneError, type LeasedStore} from '../infra/leased-store.js';
 import {StoreError, type StoredValue} from '../infra/store.js';
 import type {Logger} from '../telemetry/log.js';
 
-const DUTY_PREFIX = 'zinnia/duties/failover/';
+const LEASE_KEY_PREFIX = 'zinnia/duties/failover/';
 
-/** What became of an order. */
+/** The outcome of a promotion order. */
 export type OrderOutcome =
   | {readonly kind: 'accepted'}
-  /** A higher token was used, or the named database does not run. */
+  /** A higher token was used before, or the database is not running. */
   | {readonly kind: 'refused'}
+  /** No usable answer; the order may have been carried out. */
   | {readonly kind: 'unknown'; readonly message: string};
 
-/** Orders that a database become the primary of its group. */
+/** Port to the platform's service that promotes databases. */
 export interface FailoverOrders {
-  /** Never rejects. */
+  /** Orders a database to become its group's primary; never rejects. */
   promote(order: {
     readonly group: string;
     readonly databaseId: string;
@@ -31,20 +33,20 @@
   }): Promise<OrderOutcome>;
 }
 
-/** What the duty is built from. */
+/** Options of {@link FailoverLease}. */
 export interface FailoverDutyOptions {
   readonly store: LeasedStore;
   readonly log: Logger;
-  /** Name of this node. */
+  /** Id of this node. */
   readonly self: string;
-  /** The node's lease; undefined while it is not held. */
+  /** Id of this node's store lease; undefined while it holds none. */
   readonly lease: () => string | undefined;
 }
 
-/** Takes the duty of groups and gives it back. */
+/** Acquires and releases this node's failover leases, one per group. */
 export class FailoverDuty {
   readonly #options: FailoverDutyOptions;
-  /** Revisions of the keys that this node wrote last, by group. */
+  /** Revision of the key as this node last wrote it, by group. */
   readonly #held = new Map<string, number>();
 
   constructor(options: FailoverDutyOptions) {
@@ -52,18 +54,18 @@
   }
 
   /**
-   * Takes or confirms the duty; the token for one order, or undefined while
-   * another node holds the duty or the store can't say.
+   * Acquires or renews the failover lease. Returns the fencing token for one
+   * order, or undefined if another node holds the lease or the store fails.
    *
    * @example
-   * const token = await duty.takeToken('claims');
+   * const token = await failoverLease.acquireToken('claims');
    * if (token !== undefined) await orders.promote({group, databaseId, holder, token});
    */
   async takeToken(group: string): Promise<number | undefined> {
     const {store, self, lease, log} = this.#options;
     const leaseId = lease();
     if (leaseId === undefined) return undefined;
-    const key = DUTY_PREFIX + group;
+    const key = LEASE_KEY_PREFIX + group;
     try {
       let expected = this.#held.get(group) ?? 0;
       for (let attempt = 0; attempt < 2; attempt++) {
@@ -74,11 +76,12 @@
           return result.revision;
         }
         this.#held.delete(group);
-        if (!isOwn(result.current, self)) {
+        if (!isHeldBySelf(result.current, self)) {
           log.info('dutyHeldByOther', {group, holder: result.current?.value});
           return undefined;
         }
-        // Written by an earlier process of this node, or by a lost call.
+        // The key was written by an earlier process of this node, or by a call
+        // whose answer was lost: retry from its current revision.
         expected = result.current?.revision ?? 0;
       }
       return undefined;
@@ -90,20 +93,26 @@
     }
   }
 
-  /** Gives the duty back, for the group's next home. */
+  /**
+   * Releases the failover lease, so that the group's next home can acquire it.
+   */
   async release(group: string): Promise<void> {
     const revision = this.#held.get(group);
     if (revision === undefined) return;
     this.#held.delete(group);
     try {
-      await this.#options.store.swap(DUTY_PREFIX + group, revision, undefined);
+      await this.#options.store.swap(
+        LEASE_KEY_PREFIX + group,
+        revision,
+        undefined,
+      );
     } catch (err) {
-      // The key ends with this node's lease.
+      // The store deletes the key when this node's store lease expires.
       this.#options.log.warn('dutyNotReleased', {group, message: String(err)});
     }
   }
 }
 
-function isOwn(current: StoredValue | undefined, self: string): boolean {
+function isHeldBySelf(current: StoredValue | undefined, self: string): boolean {
   return current === undefined || current.value === self;
 }
--- a/src/groups/failover.ts
+++ b/src/groups/failover.ts
@@ -1,8 +1,10 @@
-/** Orders a failover: fence a majority, choose, promote, verify. */
+/**
+ * Runs a failover: query, fence a majority, choose a database, promote, verify.
+ */
 import type {Clock} from '../infra/clock.js';
 import {fenceMajority} from './fencing.js';
 import {majorityOf} from './group-view.js';
-import {settleMajority} from './majority.js';
+import {callUntilMajority} from './majority.js';
 import {
   chooseMostAdvanced,
   promoteAndVerify,
@@ -10,9 +12,9 @@
 } from './promotion.js';
 import type {DatabaseControl, DatabaseStatus} from './types.js';
 
-const ORDER_TIMEOUT_MS = 300;
+const DATABASE_CALL_TIMEOUT_MS = 300;
 
-/** The step at which a failover ended. */
+/** The step at which a failover ended; `look` queries the databases' terms. */
 export type FailoverStep = 'look' | 'fence' | 'promote' | 'verify';
 
 /** The outcome of a failover. */
@@ -22,7 +24,7 @@
       readonly term: number;
       readonly databaseId: string;
     }
-  /** Another orderer was ahead; look again before ordering anew. */
+  /** Another orderer took the term; reassess the group before a new attempt. */
   | {
       readonly kind: 'outbid';
       readonly step: FailoverStep;
@@ -34,20 +36,20 @@
       readonly reason: string;
     };
 
-/** What a failover needs to know. */
+/** Options of {@link orderFailover}. */
 export interface FailoverOrder {
   readonly clock: Clock;
   readonly controls: readonly DatabaseControl[];
   /**
-   * Names this attempt; never used again. Two attempts of one VM under one
-   * name could be granted one term twice and promote two databases.
+   * Id of this attempt, never reused. Two attempts under one id could both be
+   * granted the same term and promote two databases.
    */
   readonly orderer: string;
-  /** The primary to pass over where the others are enough. */
+  /** The suspected primary, not promoted if the others are a majority. */
   readonly suspectId?: string | undefined;
   /**
-   * The highest term that was known when the failover was found needed. A
-   * higher one by now means that another orderer has been here.
+   * The highest term known when the failover was found to be needed. If the
+   * group has passed it, another orderer has started a failover since.
    */
   readonly seenTerm?: number | undefined;
   readonly rank?: DatabaseRank | undefined;
@@ -55,8 +57,8 @@
 }
 
 /**
- * Orders a failover. Only the databases are asked: they grant the terms, so
- * that it works while the platform's store is down.
+ * Runs one failover. It depends on the databases alone, which grant the terms
+ * themselves, so it works while the platform's store is down.
  *
  * @example
  * const result = await orderFailover({clock, controls, orderer: 'vm-3/8f2a/1'});
@@ -66,10 +68,10 @@
   order: FailoverOrder,
 ): Promise<FailoverResult> {
   const {clock, controls, orderer, suspectId} = order;
-  const timeoutMs = order.timeoutMs ?? ORDER_TIMEOUT_MS;
+  const timeoutMs = order.timeoutMs ?? DATABASE_CALL_TIMEOUT_MS;
   const rank = order.rank ?? (() => 0);
 
-  const statuses = await askMajority(clock, controls, timeoutMs);
+  const statuses = await queryMajority(clock, controls, timeoutMs);
   if (statuses.length < majorityOf(controls.length)) {
     return failed('look', `only ${statuses.length} databases answer`);
   }
@@ -108,21 +110,26 @@
   }
 }
 
-/** The statuses of the databases that answer, a majority if it can be. */
-async function askMajority(
+/**
+ * Returns the statuses of the databases that answer, a majority if possible.
+ */
+async function queryMajority(
   clock: Clock,
   controls: readonly DatabaseControl[],
   timeoutMs: number,
 ): Promise<readonly DatabaseStatus[]> {
   const statuses: DatabaseStatus[] = [];
-  await settleMajority(clock, controls, async control => {
+  await callUntilMajority(clock, controls, async control => {
     statuses.push(await control.status(timeoutMs));
     return true;
   });
   return statuses;
 }
 
-/** The term after all that these databases know of. */
+/**
+ * Returns the term after the highest one that these databases follow or are
+ * fenced at.
+ */
 export function nextTerm(statuses: readonly DatabaseStatus[]): number {
   const terms = statuses.flatMap(({term, fencedTerm}) => [term, fencedTerm]);
   return Math.max(0, ...terms) + 1;
--- a/src/groups/fencing.ts
+++ b/src/groups/fencing.ts
@@ -1,60 +1,61 @@
 /** Fences a majority of a group's databases at a new term. */
 import type {Clock} from '../infra/clock.js';
 import {majorityOf} from './group-view.js';
-import {settleMajority} from './majority.js';
+import {callUntilMajority} from './majority.js';
 import type {DatabaseControl, DatabaseStatus} from './types.js';
 
-/** A database that granted the term, with its status at that moment. */
+/** A database that granted the term, with its status at that time. */
 export interface FencedDatabase {
   readonly control: DatabaseControl;
   readonly status: DatabaseStatus;
 }
 
-/** The outcome of fencing a group. */
+/** The outcome of {@link fenceMajority}. */
 export type FencingResult =
   | {readonly kind: 'fenced'; readonly databases: readonly FencedDatabase[]}
   /** Another orderer holds this term or a higher one. */
   | {readonly kind: 'outbid'; readonly fencedTerm: number}
+  /** No majority answered. */
   | {readonly kind: 'unreachable'; readonly fenced: number};
 
-/** What to fence, and for whom. */
+/** Options of {@link fenceMajority}. */
 export interface FencingOrder {
   readonly clock: Clock;
   readonly controls: readonly DatabaseControl[];
   readonly term: number;
-  /** Unique to this attempt: a term is granted to one orderer only. */
+  /** Id unique to this attempt: a term is granted to one orderer only. */
   readonly orderer: string;
   readonly timeoutMs: number;
-  /** Databases to wait for even when a majority is fenced. */
+  /** Ids of databases to wait for even after a majority is fenced. */
   readonly required?: readonly string[];
 }
 
 /**
- * Fences all databases that can be reached, and succeeds if they are a
- * majority of the group.
+ * Fences every reachable database at the term; succeeds if they are a majority
+ * of the group.
  *
- * A database that grants a term refuses it to others, so of two orderers at
- * one term only one gets a majority.
+ * A database grants a term to one orderer only, so of two orderers that compete
+ * for a term at most one gets a majority.
  */
 export async function fenceMajority(
   order: FencingOrder,
 ): Promise<FencingResult> {
   const {clock, controls, term, orderer, timeoutMs} = order;
   const fenced: FencedDatabase[] = [];
-  let outbidBy = 0;
+  let competingTerm = 0;
   const fence = async (control: DatabaseControl) => {
     const result = await control.fence(term, orderer, timeoutMs);
     if (result.kind === 'refused') {
-      outbidBy = Math.max(outbidBy, result.fencedTerm);
+      competingTerm = Math.max(competingTerm, result.fencedTerm);
       return false;
     }
     fenced.push({control, status: result.status});
     return true;
   };
-  await settleMajority(clock, controls, fence, order.required);
+  await callUntilMajority(clock, controls, fence, order.required);
   if (fenced.length >= majorityOf(controls.length)) {
     return {kind: 'fenced', databases: [...fenced]};
   }
-  if (outbidBy > 0) return {kind: 'outbid', fencedTerm: outbidBy};
+  if (competingTerm > 0) return {kind: 'outbid', fencedTerm: competingTerm};
   return {kind: 'unreachable', fenced: fenced.length};
 }
--- a/src/groups/group-view.ts
+++ b/src/groups/group-view.ts
@@ -1,34 +1,36 @@
-/** What one node knows of a database group at a moment. */
+/** One node's view of a database group at one point in time. */
 import type {DatabaseSpec, DatabaseStatus} from './types.js';
 
-/** What is known of one database. */
+/** One node's view of a database. */
 export interface DatabaseView {
   readonly spec: DatabaseSpec;
-  /** The last status that it gave; undefined if it never gave one. */
+  /** The last status received; undefined if there was none. */
   readonly status: DatabaseStatus | undefined;
-  /** The age of that status, counted from when it was asked for. */
+  /** Age of that status, measured from when it was requested. */
   readonly ageMs: number;
-  /** Whether the last question was answered in time. */
+  /** Whether the last status request was answered in time. */
   readonly reachable: boolean;
-  /** For how long it has answered nothing; 0 while reachable. */
+  /** Time since the first of the unanswered requests; 0 while reachable. */
   readonly unreachableMs: number;
 }
 
-/** What is known of a group. */
+/** One node's view of a group. */
 export interface GroupView {
   readonly name: string;
-  /** The highest term that a database follows or leads. */
+  /** The highest term that any database follows or leads. */
   readonly term: number;
-  /** The primary of that term, unless it is known to be fenced. */
+  /**
+   * The primary of that term; undefined if it or a majority is fenced above it.
+   */
   readonly primaryId: string | undefined;
   readonly databases: readonly DatabaseView[];
 }
 
 /**
- * Collects what is known of the databases into a view of the group.
+ * Builds the view of a group from the views of its databases.
  *
- * A primary leads no longer once a majority is fenced above its term, since
- * none of its writes can be acknowledged from then on.
+ * A primary no longer counts once a majority is fenced above its term, since
+ * none of its writes can be acknowledged after that.
  */
 export function groupViewOf(
   name: string,
@@ -38,20 +40,20 @@
   const fenced = databases.filter(
     ({status}) => status !== undefined && status.fencedTerm > term,
   );
-  const over = fenced.length >= majorityOf(databases.length);
+  const isSuperseded = fenced.length >= majorityOf(databases.length);
   const primary = databases.find(
     ({status}) => status !== undefined && leads(status, term),
   );
-  const primaryId = over ? undefined : primary?.spec.id;
+  const primaryId = isSuperseded ? undefined : primary?.spec.id;
   return {name, term, primaryId, databases};
 }
 
-/** The smallest number of databases that two fences can't both have. */
+/** The size of a majority quorum; any two majorities overlap. */
 export function majorityOf(count: number): number {
   return Math.floor(count / 2) + 1;
 }
 
-/** The highest term that a database of the view follows or was fenced at. */
+/** The highest term that any database of the view follows or is fenced at. */
 export function highestTerm(view: GroupView): number {
   const terms = view.databases.flatMap(({status}) =>
     status === undefined ? [] : [status.term, status.fencedTerm],
--- a/src/groups/leadership.ts
+++ b/src/groups/leadership.ts
@@ -1,47 +1,53 @@
-/** Who leads a group, from what its databases answered and announced. */
+/**
+ * Tracks which database leads a group, from the databases' answers and from
+ * the platform's announcements of their roles.
+ */
 import type {DatabaseState} from '../statements/types.js';
 
-/** An announcement may reach a node so much later than it was made. */
-const ANNOUNCED_LATE_MS = 1_000;
+/** Maximum delay between an announcement and its arrival at a node. */
+const MAX_ANNOUNCEMENT_DELAY_MS = 1_000;
 
-/** What is known of one database's role. */
-interface Claim {
+/** Whether a database leads, and how strongly that is proven. */
+interface LeadershipClaim {
   readonly leads: boolean;
-  /** The highest term for which it is known to lead; 0 if only announced. */
+  /** The highest term it is known to lead; 0 if it was only announced. */
   readonly term: number;
-  /** When it last proved that; -Infinity if it was only announced. */
+  /** Time of the last proof; -Infinity if it was only announced. */
   readonly provenAt: number;
 }
 
 /**
- * Weighs higher terms above lower ones and later proofs above earlier ones. A
- * new primary's log ends in the old term until its first commit, and the old
- * one may never say that it was replaced, so a term alone decides nothing.
+ * Decides which database leads: the claim with the highest term, and among
+ * equal terms the one with the latest proof. Terms alone are not enough: a new
+ * primary's log ends in the old term until its first commit, and the old
+ * primary may never report that it was replaced.
  *
- * All times are on the node's monotonic clock, in milliseconds.
+ * All times are in milliseconds on the node's monotonic clock.
  *
  * @example
- * leadership.noteAnnounced('db-1', 'primary', clock.now());
- * leadership.noteAccepted('db-1', 3, sentAt);
+ * leadership.recordAnnouncement('db-1', 'primary', clock.now());
+ * leadership.recordAccepted('db-1', 3, sentAt);
  * leadership.leaderId; // 'db-1'
  */
 export class Leadership {
-  readonly #claims = new Map<string, Claim>();
+  readonly #claims = new Map<string, LeadershipClaim>();
   readonly #announced = new Map<string, string>();
   #leaderId: string | undefined;
 
-  /** The database believed to lead; undefined while none or several claim to. */
+  /**
+   * The leading database; undefined if none claims to lead or claims are tied.
+   */
   get leaderId(): string | undefined {
     return this.#leaderId;
   }
 
-  /** Whether several databases claim to lead and none has proved it. */
+  /** Whether several databases claim to lead and no claim is the strongest. */
   get isContested(): boolean {
     const leading = [...this.#claims.values()].filter(({leads}) => leads);
     return leading.length > 1 && this.#leaderId === undefined;
   }
 
-  /** Takes a database's announcement, if it says something new. */
+  /** Records the announced role of a database; ignored if unchanged. */
   noteAnnounced(
     id: string,
     role: 'primary' | 'replica' | undefined,
@@ -51,16 +57,22 @@
     if (role === undefined || before === role) return;
     this.#announced.set(id, role);
     const known = this.#claims.get(id);
-    const saidAt = at - ANNOUNCED_LATE_MS;
-    if (known?.leads && (role === 'primary' || known.provenAt > saidAt)) return;
-    if (role === 'replica') return this.#set(id, FOLLOWS);
-    // A replica that says so has been promoted after the proofs of the others.
+    const announcedAt = at - MAX_ANNOUNCEMENT_DELAY_MS;
+    if (known?.leads && (role === 'primary' || known.provenAt > announcedAt))
+      return;
+    if (role === 'replica') return this.#set(id, FOLLOWER_CLAIM);
+    // A replica announced as primary was promoted after the other databases'
+    // proofs, so its claim gets the highest term.
     const isPromoted = before === 'replica';
     const term = isPromoted ? this.#highestTerm : 0;
-    this.#set(id, {leads: true, term, provenAt: isPromoted ? saidAt : NEVER});
+    this.#set(id, {
+      leads: true,
+      term,
+      provenAt: isPromoted ? announcedAt : NEVER,
+    });
   }
 
-  /** Takes that a database accepted what only a primary accepts. */
+  /** Records that a database accepted a command that only a primary accepts. */
   noteAccepted(id: string, term: number, sentAt: number): void {
     const known = this.#claims.get(id);
     const wasLeading = known?.leads === true;
@@ -72,51 +84,62 @@
     });
   }
 
-  /** Takes that a database refused what only a primary accepts. */
+  /** Records that a database refused a command that only a primary accepts. */
   noteRefused(id: string): void {
-    this.#set(id, FOLLOWS);
+    this.#set(id, FOLLOWER_CLAIM);
   }
 
-  /** Takes what a database said of itself when it was asked. */
-  noteState(id: string, {role, term}: DatabaseState, askedAt: number): void {
-    if (role === 'primary') this.noteAccepted(id, term, askedAt);
-    else this.#set(id, FOLLOWS);
+  /**
+   * Records the state that a database reported to a query sent at
+   * `requestedAt`.
+   */
+  noteState(
+    id: string,
+    {role, term}: DatabaseState,
+    requestedAt: number,
+  ): void {
+    if (role === 'primary') this.noteAccepted(id, term, requestedAt);
+    else this.#set(id, FOLLOWER_CLAIM);
   }
 
-  /** Forgets a database that is gone. */
+  /** Removes a database that no longer exists. */
   forget(id: string): void {
     this.#claims.delete(id);
     this.#announced.delete(id);
-    this.#settle();
+    this.#updateLeader();
   }
 
-  #set(id: string, claim: Claim): void {
+  #set(id: string, claim: LeadershipClaim): void {
     this.#claims.set(id, claim);
-    this.#settle();
+    this.#updateLeader();
   }
 
   get #highestTerm(): number {
-    return Math.max(0, ...[...this.#claims.values()].map(one => one.term));
+    return Math.max(0, ...[...this.#claims.values()].map(claim => claim.term));
   }
 
-  #settle(): void {
+  #updateLeader(): void {
     const leading = [...this.#claims]
       .filter(([, {leads}]) => leads)
-      .toSorted(([, a], [, b]) => byStrength(a, b));
+      .toSorted(([, a], [, b]) => compareClaims(a, b));
     const [first, second] = leading;
     const isTied =
       first !== undefined &&
       second !== undefined &&
-      byStrength(first[1], second[1]) === 0;
+      compareClaims(first[1], second[1]) === 0;
     this.#leaderId = isTied ? undefined : first?.[0];
   }
 }
 
 const NEVER = -Infinity;
-const FOLLOWS: Claim = {leads: false, term: 0, provenAt: NEVER};
+const FOLLOWER_CLAIM: LeadershipClaim = {
+  leads: false,
+  term: 0,
+  provenAt: NEVER,
+};
 
-/** The stronger claim first. */
-function byStrength(a: Claim, b: Claim): number {
+/** Sort comparator: the stronger claim first. */
+function compareClaims(a: LeadershipClaim, b: LeadershipClaim): number {
   if (a.term !== b.term) return b.term - a.term;
   if (a.provenAt === b.provenAt) return 0;
   return b.provenAt > a.provenAt ? 1 : -1;
--- a/src/groups/monitor.ts
+++ b/src/groups/monitor.ts
@@ -1,32 +1,35 @@
-/** Follows the databases of one group by asking each for its status. */
+/** Monitors the databases of one group by polling their status. */
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import {groupViewOf, type DatabaseView, type GroupView} from './group-view.js';
 import type {DatabaseControl, DatabaseStatus} from './types.js';
 
 const STATUS_PERIOD_MS = 200;
-/** The period while something looks wrong, which shortens a failover. */
-const URGENT_PERIOD_MS = 50;
-/** A replica that hears nothing of its primary for this long looks wrong. */
-const UNEASY_SILENCE_MS = 300;
+/** Shorter period while the group is degraded, to detect a failure sooner. */
+const DEGRADED_PERIOD_MS = 50;
+/**
+ * Silence of the primary at a replica from which the group counts as degraded.
+ */
+const DEGRADED_SILENCE_MS = 300;
 const STATUS_TIMEOUT_MS = 500;
-const REFRESH_WAIT_MS = 30;
+const REFRESH_TIMEOUT_MS = 30;
 /**
- * A question that took this much longer than its timeout says that this
- * process stood still, and nothing about the database.
+ * A request that exceeds its timeout by more than this shows that this process
+ * was stalled; it says nothing about the database.
  */
-const STALL_MS = 200;
+const STALL_THRESHOLD_MS = 200;
 
-/** A status, as it was learned. */
+/** A status received from a database. */
 export interface StatusReport {
   readonly databaseId: string;
   readonly status: DatabaseStatus;
-  /** When it was asked for, on the node's monotonic clock. */
-  readonly askedAt: number;
-  readonly answeredAt: number;
+  /** When the request was sent, on the node's monotonic clock. */
+  readonly requestedAt: number;
+  /** When the answer arrived, on the same clock. */
+  readonly receivedAt: number;
 }
 
-/** Settings of a monitor. */
+/** Options of {@link GroupMonitor}. */
 export interface MonitorOptions {
   readonly clock: Clock;
   readonly groupName: string;
@@ -35,16 +38,18 @@
   readonly timeoutMs?: number;
 }
 
-interface Watched {
+/** A database and the result of its last polls. */
+interface MonitoredDatabase {
   readonly control: DatabaseControl;
   status: DatabaseStatus | undefined;
-  askedAt: number;
-  /** When the first question that went unanswered was asked. */
+  /** When the request for `status` was sent. */
+  requestedAt: number;
+  /** When the first of the unanswered requests was sent. */
   unansweredSince: number | undefined;
 }
 
 /**
- * Asks each database of a group for its status, one task a database.
+ * Polls each database of a group for its status, in one task per database.
  *
  * @example
  * const monitor = new GroupMonitor({clock, groupName: 'claims', controls});
@@ -56,7 +61,7 @@
   readonly #groupName: string;
   readonly #periodMs: number;
   readonly #timeoutMs: number;
-  readonly #watched: readonly Watched[];
+  readonly #monitored: readonly MonitoredDatabase[];
   readonly #changeListeners = new Set<(view: GroupView) => void>();
   readonly #reportListeners = new Set<(report: StatusReport) => void>();
   readonly #stopping = new AbortController();
@@ -67,38 +72,41 @@
     this.#groupName = options.groupName;
     this.#periodMs = options.periodMs ?? STATUS_PERIOD_MS;
     this.#timeoutMs = options.timeoutMs ?? STATUS_TIMEOUT_MS;
-    this.#watched = options.controls.map(control => ({
+    this.#monitored = options.controls.map(control => ({
       control,
       status: undefined,
-      askedAt: -Infinity,
+      requestedAt: -Infinity,
       unansweredSince: undefined,
     }));
   }
 
-  /** Starts the tasks; they end with {@link stop}. */
+  /** Starts polling; {@link stop} ends it. */
   start(): void {
-    for (const watched of this.#watched) void this.#follow(watched);
+    for (const monitored of this.#monitored)
+      void this.#pollUntilStopped(monitored);
   }
 
   stop(): void {
     this.#stopping.abort();
   }
 
-  /** What is known now. */
+  /** Returns the current view of the group. */
   current(): GroupView {
     return groupViewOf(
       this.#groupName,
-      this.#watched.map(watched => this.#viewOf(watched)),
+      this.#monitored.map(monitored => this.#viewOf(monitored)),
     );
   }
 
   /**
-   * Asks all databases at once, and returns what is known after `waitMs` or
-   * once all have answered.
+   * Polls all databases at once. Returns the view of the group once all have
+   * answered, or after `waitMs`.
    */
-  async refreshNow(waitMs = REFRESH_WAIT_MS): Promise<GroupView> {
+  async refreshNow(waitMs = REFRESH_TIMEOUT_MS): Promise<GroupView> {
     const answered = new AbortController();
-    const all = Promise.all(this.#watched.map(watched => this.#ask(watched)));
+    const all = Promise.all(
+      this.#monitored.map(monitored => this.#poll(monitored)),
+    );
     const waited = this.#clock.sleep(waitMs, answered.signal);
     await Promise.race([all, waited]);
     answered.abort();
@@ -106,72 +114,84 @@
   }
 
   /**
-   * Calls `listener` whenever the term or the primary changes; returns a
-   * function that ends this.
+   * Calls `listener` whenever the term or the primary changes. Returns a
+   * function that removes the listener.
    */
   onChange(listener: (view: GroupView) => void): () => void {
     this.#changeListeners.add(listener);
     return () => this.#changeListeners.delete(listener);
   }
 
-  /** Calls `listener` with each status; returns a function that ends this. */
+  /** Calls `listener` with each status; returns a function that removes it. */
   onReport(listener: (report: StatusReport) => void): () => void {
     this.#reportListeners.add(listener);
     return () => this.#reportListeners.delete(listener);
   }
 
-  async #follow(watched: Watched): Promise<void> {
+  async #pollUntilStopped(monitored: MonitoredDatabase): Promise<void> {
     const {signal} = this.#stopping;
     while (!signal.aborted) {
-      await this.#ask(watched);
-      const periodMs = this.isUneasy ? URGENT_PERIOD_MS : this.#periodMs;
+      await this.#poll(monitored);
+      const periodMs = this.isUneasy ? DEGRADED_PERIOD_MS : this.#periodMs;
       await sleepToTick(this.#clock, periodMs, signal);
     }
   }
 
-  /** Whether a failover may be near or under way. */
+  /**
+   * Whether a database does not answer or a replica receives nothing from its
+   * primary, so that a failover may be needed or in progress.
+   */
   get isUneasy(): boolean {
-    return this.#watched.some(
+    return this.#monitored.some(
       ({status, unansweredSince}) =>
         unansweredSince !== undefined ||
-        (status !== undefined && status.upstreamSilentMs > UNEASY_SILENCE_MS),
+        (status !== undefined && status.upstreamSilentMs > DEGRADED_SILENCE_MS),
     );
   }
 
-  async #ask(watched: Watched): Promise<void> {
-    const askedAt = this.#clock.now();
+  async #poll(monitored: MonitoredDatabase): Promise<void> {
+    const requestedAt = this.#clock.now();
     let status: DatabaseStatus;
     try {
-      status = await watched.control.status(this.#timeoutMs);
+      status = await monitored.control.status(this.#timeoutMs);
     } catch {
-      this.#noteSilence(watched, askedAt);
+      this.#recordFailure(monitored, requestedAt);
       return;
     }
-    this.#noteAnswer(watched, status, askedAt);
+    this.#recordStatus(monitored, status, requestedAt);
   }
 
-  #noteSilence(watched: Watched, askedAt: number): void {
-    const spentMs = this.#clock.now() - askedAt;
-    const stoodStill = spentMs > this.#timeoutMs + STALL_MS;
-    watched.unansweredSince = stoodStill
+  #recordFailure(monitored: MonitoredDatabase, requestedAt: number): void {
+    const elapsedMs = this.#clock.now() - requestedAt;
+    const processStalled = elapsedMs > this.#timeoutMs + STALL_THRESHOLD_MS;
+    monitored.unansweredSince = processStalled
       ? undefined
-      : (watched.unansweredSince ?? askedAt);
+      : (monitored.unansweredSince ?? requestedAt);
   }
 
-  #noteAnswer(watched: Watched, status: DatabaseStatus, askedAt: number): void {
-    if (askedAt < watched.askedAt) return;
-    watched.status = status;
-    watched.askedAt = askedAt;
-    watched.unansweredSince = undefined;
-    const databaseId = watched.control.spec.id;
-    const answeredAt = this.#clock.now();
+  #recordStatus(
+    monitored: MonitoredDatabase,
+    status: DatabaseStatus,
+    requestedAt: number,
+  ): void {
+    if (requestedAt < monitored.requestedAt) return;
+    monitored.status = status;
+    monitored.requestedAt = requestedAt;
+    monitored.unansweredSince = undefined;
+    const databaseId = monitored.control.spec.id;
+    const receivedAt = this.#clock.now();
     for (const listener of this.#reportListeners) {
-      listener({databaseId, status, askedAt, answeredAt});
+      listener({
+        databaseId,
+        status,
+        requestedAt,
+        receivedAt,
+      });
     }
-    this.#noteChange();
+    this.#notifyChange();
   }
 
-  #noteChange(): void {
+  #notifyChange(): void {
     const view = this.current();
     const primary = `${view.term} ${view.primaryId}`;
     if (primary === this.#lastPrimary) return;
@@ -179,12 +199,17 @@
     for (const listener of this.#changeListeners) listener(view);
   }
 
-  #viewOf({control, status, askedAt, unansweredSince}: Watched): DatabaseView {
+  #viewOf({
+    control,
+    status,
+    requestedAt,
+    unansweredSince,
+  }: MonitoredDatabase): DatabaseView {
     const now = this.#clock.now();
     return {
       spec: control.spec,
       status,
-      ageMs: now - askedAt,
+      ageMs: now - requestedAt,
       reachable: status !== undefined && unansweredSince === undefined,
       unreachableMs: unansweredSince === undefined ? 0 : now - unansweredSince,
     };
--- a/src/groups/planned-switch.ts
+++ b/src/groups/planned-switch.ts
@@ -1,4 +1,4 @@
-/** An operator's planned switch of a group's primary. */
+/** Planned switch of a group's primary, ordered by an operator. */
 import type {Clock} from '../infra/clock.js';
 import {covers} from '../session/position.js';
 import {nextTerm, orderFailover, type FailoverResult} from './failover.js';
@@ -6,21 +6,24 @@
 import {promoteAndVerify} from './promotion.js';
 import type {DatabaseControl} from './types.js';
 
-const CATCH_UP_MS = 2_000;
-/** Writes wait meanwhile. */
-const HELD_CATCH_UP_MS = 500;
-const ORDER_TIMEOUT_MS = 300;
+const CATCH_UP_TIMEOUT_MS = 2_000;
+/** Shorter, since writes are held meanwhile. */
+const HELD_CATCH_UP_TIMEOUT_MS = 500;
+const DATABASE_CALL_TIMEOUT_MS = 300;
 
-/** Holds back this node's writes while the primary changes. */
+/** Holds this node's writes while the primary changes. */
 export interface WriteHold {
-  /** Resolves when no write of this node is under way any more. */
+  /**
+   * Holds new writes; resolves when none of this node's writes is in progress.
+   */
   holdWrites(): Promise<void>;
   releaseWrites(): void | Promise<void>;
 }
 
+/** The current primary. */
 interface Leader {
   readonly control: DatabaseControl;
-  /** The term after all that the group knows of. */
+  /** The term after the highest one known to the group. */
   readonly nextTerm: number;
 }
 
@@ -29,29 +32,29 @@
   | {readonly kind: 'switched'; readonly term: number}
   /** Nothing was changed; the old primary still leads. */
   | {readonly kind: 'notStarted'; readonly reason: string}
-  /** The switch broke off, so an ordinary failover was ordered. */
+  /** The switch failed after fencing had begun, so a failover was ordered. */
   | {
       readonly kind: 'fellBack';
       readonly reason: string;
       readonly failover: FailoverResult;
     };
 
-/** What a switch needs to know. */
+/** Options of {@link switchPrimary}. */
 export interface SwitchOrder {
   readonly clock: Clock;
   readonly controls: readonly DatabaseControl[];
   readonly targetDatabaseId: string;
   readonly hold: WriteHold;
-  /** Makes a new orderer's name for each attempt. */
+  /** Returns a new orderer id for each attempt. */
   readonly nextOrderer: () => string;
-  /** How long the target may take to reach the primary. */
+  /** How long the target may take to catch up before writes are held. */
   readonly catchUpMs?: number;
 }
 
 /**
- * Makes the target database primary. Writes are held until it is, or until the
- * switch is given up; no committed write is lost, since the target is promoted
- * only if it holds all that any fenced database holds.
+ * Makes the target database primary. Writes are held until the switch succeeds
+ * or is given up. No committed write is lost, since the target is promoted only
+ * if its log covers the log of every fenced database.
  *
  * @example
  * await switchPrimary({clock, controls, targetDatabaseId: 'claims-3', hold,
@@ -68,25 +71,30 @@
   if (leader.control === target) {
     return notStarted(`${targetDatabaseId} leads already`);
   }
-  // Catching up before the hold keeps the hold short.
-  const early = await catchUp(leader, target, order.catchUpMs ?? CATCH_UP_MS);
-  if (early !== undefined) return notStarted(early);
+  // The target catches up before writes are held, so that the hold is short.
+  const unheldFailure = await catchUp(
+    leader,
+    target,
+    order.catchUpMs ?? CATCH_UP_TIMEOUT_MS,
+  );
+  if (unheldFailure !== undefined) return notStarted(unheldFailure);
   try {
     await hold.holdWrites();
-    const late = await catchUp(leader, target, HELD_CATCH_UP_MS);
-    if (late !== undefined) return notStarted(late);
-    return await handOver(order, leader, target);
+    const heldFailure = await catchUp(leader, target, HELD_CATCH_UP_TIMEOUT_MS);
+    if (heldFailure !== undefined) return notStarted(heldFailure);
+    return await fenceAndPromote(order, leader, target);
   } finally {
     await hold.releaseWrites();
   }
 }
 
+/** Returns the primary of the highest term among the databases that answer. */
 async function findLeader(
   controls: readonly DatabaseControl[],
 ): Promise<Leader | undefined> {
   const answers = await Promise.allSettled(
     controls.map(async control => {
-      const status = await control.status(ORDER_TIMEOUT_MS);
+      const status = await control.status(DATABASE_CALL_TIMEOUT_MS);
       return {control, status};
     }),
   );
@@ -100,7 +108,10 @@
   return leader && {control: leader.control, nextTerm: term};
 }
 
-/** Waits until the target holds the primary's log; says why it doesn't. */
+/**
+ * Waits until the target holds the primary's log. Returns undefined, or the
+ * reason why it does not.
+ */
 async function catchUp(
   leader: Leader,
   target: DatabaseControl,
@@ -108,7 +119,9 @@
 ): Promise<string | undefined> {
   const id = target.spec.id;
   try {
-    const {term, received} = await leader.control.status(ORDER_TIMEOUT_MS);
+    const {term, received} = await leader.control.status(
+      DATABASE_CALL_TIMEOUT_MS,
+    );
     const result = await target.confirm(term, received, waitMs);
     if (result.kind === 'confirmed') return undefined;
     if (result.kind === 'fenced') return `${id} is fenced above term ${term}`;
@@ -118,8 +131,11 @@
   }
 }
 
-/** Fences, checks that the target holds everything, and promotes it. */
-async function handOver(
+/**
+ * Fences a majority, checks that the target holds every log entry, and promotes
+ * it.
+ */
+async function fenceAndPromote(
   order: SwitchOrder,
   leader: Leader,
   target: DatabaseControl,
@@ -128,36 +144,38 @@
   const orderer = order.nextOrderer();
   const term = leader.nextTerm;
   const required = [leader.control.spec.id, target.spec.id];
-  const common = {clock, term, orderer, timeoutMs: ORDER_TIMEOUT_MS};
+  const common = {clock, term, orderer, timeoutMs: DATABASE_CALL_TIMEOUT_MS};
   const fenced = await fenceMajority({...common, controls, required});
   if (fenced.kind !== 'fenced') {
     return fallBack(order, 'no majority could be fenced');
   }
-  const broken = whyUnfit(fenced.databases, leader.control, target);
-  if (broken !== undefined) return fallBack(order, broken);
+  const unfitReason = findUnfitReason(fenced.databases, leader.control, target);
+  if (unfitReason !== undefined) return fallBack(order, unfitReason);
   const result = await promoteAndVerify({...common, control: target});
   if (result === 'promoted') return {kind: 'switched', term};
   return fallBack(order, `the promotion of ${target.spec.id} was ${result}`);
 }
 
-function whyUnfit(
+/** Returns why the target must not be promoted; undefined if it may be. */
+function findUnfitReason(
   fenced: readonly FencedDatabase[],
   leader: DatabaseControl,
   target: DatabaseControl,
 ): string | undefined {
   const id = target.spec.id;
-  const own = fenced.find(({control}) => control === target);
-  if (own === undefined) return `${id} could not be fenced`;
+  const fencedTarget = fenced.find(({control}) => control === target);
+  if (fencedTarget === undefined) return `${id} could not be fenced`;
   if (!fenced.some(({control}) => control === leader)) {
     return `${leader.spec.id} could not be fenced`;
   }
-  const behind = fenced.find(
-    ({status}) => !covers(own.status.received, status.received),
+  const aheadOfTarget = fenced.find(
+    ({status}) => !covers(fencedTarget.status.received, status.received),
   );
-  if (behind === undefined) return undefined;
-  return `${behind.control.spec.id} took a write that ${id} has not`;
+  if (aheadOfTarget === undefined) return undefined;
+  return `${aheadOfTarget.control.spec.id} took a write that ${id} has not`;
 }
 
+/** Orders a failover after the switch has failed. */
 async function fallBack(
   order: SwitchOrder,
   reason: string,
--- a/src/groups/primary-keeper.ts
+++ b/src/groups/primary-keeper.ts
@@ -1,4 +1,4 @@
-/** Sees to it that a group has a primary. */
+/** Coordinates failovers and planned changes of a group's primary. */
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import {comparePositions, type Position} from '../session/position.js';
@@ -8,76 +8,82 @@
 import type {Leadership} from './leadership.js';
 
 const CHECK_PERIOD_MS = 100;
-/** The same on nodes that leave the change to another. */
+/** Check period on nodes that are not responsible for the group. */
 const OBSERVER_PERIOD_MS = 1_000;
-/** How long a group may lack a known primary before one is named. */
-const NO_PRIMARY_MS = 700;
+/** How long a group may have no known primary before one is promoted. */
+const LEADERLESS_LIMIT_MS = 700;
 /**
- * Failed probes of a primary, after a silence of its work, before another one
- * is named. Each probe takes as long as a connection may take to open.
+ * Failed probes of an unresponsive primary before it is replaced. A probe takes
+ * up to the connect timeout.
  */
-const PROBES = 1;
-/** Pause between two probes. */
+const PROBE_ATTEMPTS = 1;
+/** Pause after a failed probe. */
 const PROBE_PAUSE_MS = 100;
-/** How long a named database may take to lead before the next order. */
-const TAKE_OVER_MS = 2_500;
-const TAKE_OVER_POLL_MS = 50;
-/** How long a replica may take to catch up before a planned change. */
-const CATCH_UP_MS = 1_500;
+/**
+ * How long a promoted database may take to lead before another order is sent.
+ */
+const TAKEOVER_TIMEOUT_MS = 2_500;
+const TAKEOVER_POLL_MS = 50;
+/** How long a replica may take to catch up in a planned change. */
+const CATCH_UP_TIMEOUT_MS = 1_500;
 const CATCH_UP_POLL_MS = 20;
-/** Time allowed for all candidates to say their state. */
-const SURVEY_MS = 400;
-/** Pause before a database that was too busy to say its state is asked again. */
-const BUSY_PAUSE_MS = 20;
+/** Time allowed for all candidates to report their state. */
+const STATE_QUERY_TIMEOUT_MS = 400;
+/** Pause before a database that was too busy or failed is queried again. */
+const BUSY_RETRY_PAUSE_MS = 20;
 
-/** A database as the keeper sees it. */
+/** A database as the coordinator sees it. */
 export interface KeptDatabase {
   readonly id: string;
-  /** Whether it is about to leave. */
+  /** Whether it is draining, before it leaves the group. */
   readonly isDraining: boolean;
-  /** Whether its work shows no sign of life. */
+  /** Whether it is suspected to be down, as its requests get no answer. */
   readonly isSuspect: boolean;
-  /** The last position that its answers showed. */
+  /** The last log position reported in its answers. */
   readonly shown: Position | undefined;
-  /** Its state over a new connection; undefined while it is too busy. */
+  /**
+   * Queries its state over a new connection; undefined while it is too busy.
+   */
   askState(): Promise<DatabaseState | undefined>;
-  /** The same over any connection that is open. */
+  /** The same over an open connection, or over a new one if none is open. */
   askStateSoon(): Promise<DatabaseState | undefined>;
 }
 
-/** What a keeper is built from. */
+/** Options of {@link FailoverCoordinator}. */
 export interface PrimaryKeeperOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly group: string;
+  /** Id of this node. */
   readonly self: string;
   readonly leadership: Leadership;
   readonly duty: Pick<FailoverDuty, 'takeToken' | 'release'>;
   readonly orders: FailoverOrders;
-  /** The databases that are announced now. */
+  /** The databases that the platform announces now. */
   readonly databases: () => readonly KeptDatabase[];
-  /** Whether this node is the one to act for the group. */
+  /** Whether this node is the one that promotes databases of the group. */
   readonly isResponsible: () => boolean;
-  /** Keeps writes back until the returned function is called. */
+  /** Holds writes until the returned function is called. */
   readonly holdWrites: () => Promise<() => void>;
-  /** Called once a primary has been found to be out of reach. */
+  /** Called when the primary has failed its probes. */
   readonly onUnreachable: (id: string) => void;
-  /** Called once a database has been seen to lead. */
+  /** Called when a promoted database has reported that it leads. */
   readonly onPromoted: (id: string) => void;
 }
 
-/** Why a primary is replaced. */
-type Cause = 'noPrimary' | 'unreachable' | 'draining' | 'gone';
+/** Why the primary is replaced. */
+type ChangeCause = 'noPrimary' | 'unreachable' | 'draining' | 'gone';
 
 /**
- * Watches one group and names a new primary where that is needed.
+ * Monitors one group and promotes a new primary where one is needed: the most
+ * advanced replica that answers.
  *
- * A planned change first lets the chosen replica catch up while writes are
- * held; after a failure the most advanced replica that answers is chosen.
+ * If the old primary is draining, the chosen replica first catches up with it
+ * while writes are held.
  *
  * @example
- * const keeper = new PrimaryKeeper(options);
- * void keeper.run(signal);
+ * const coordinator = new FailoverCoordinator(options);
+ * void coordinator.run(signal);
  */
 export class PrimaryKeeper {
   readonly #options: PrimaryKeeperOptions;
@@ -89,12 +95,12 @@
     this.#options = options;
   }
 
-  /** Whether a new primary is being named. */
+  /** Whether the primary is being replaced. */
   get isChanging(): boolean {
     return this.#isChanging;
   }
 
-  /** Watches until `signal` aborts. */
+  /** Monitors the group until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const {clock, log, group} = this.#options;
     while (!signal.aborted) {
@@ -113,24 +119,25 @@
     if (clock.now() - this.#checkedAt < periodMs) return;
     this.#checkedAt = clock.now();
     if (databases().length === 0) return;
-    if (leadership.isContested) await this.#survey(databases());
+    if (leadership.isContested) await this.#queryStates(databases());
     const cause = await this.#findCause();
     if (cause === undefined || !isResponsible()) return;
     this.#isChanging = true;
     try {
-      await this.#change(cause);
+      await this.#replacePrimary(cause);
     } finally {
       this.#isChanging = false;
     }
   }
 
-  async #findCause(): Promise<Cause | undefined> {
+  async #findCause(): Promise<ChangeCause | undefined> {
     const {clock, databases, leadership} = this.#options;
     const leaderId = leadership.leaderId;
     if (leaderId === undefined) {
       this.#leaderlessSince ??= clock.now();
-      if (clock.now() - this.#leaderlessSince < NO_PRIMARY_MS) return undefined;
-      await this.#survey(databases());
+      if (clock.now() - this.#leaderlessSince < LEADERLESS_LIMIT_MS)
+        return undefined;
+      await this.#queryStates(databases());
       return leadership.leaderId === undefined ? 'noPrimary' : undefined;
     }
     this.#leaderlessSince = undefined;
@@ -141,19 +148,19 @@
     return this.#probe(leader);
   }
 
-  /** Asks a silent primary itself, over new connections. */
-  async #probe(leader: KeptDatabase): Promise<Cause | undefined> {
+  /** Probes an unresponsive primary over new connections. */
+  async #probe(leader: KeptDatabase): Promise<ChangeCause | undefined> {
     const {clock, leadership} = this.#options;
-    for (let failed = 0; failed < PROBES; failed++) {
+    for (let failed = 0; failed < PROBE_ATTEMPTS; failed++) {
       try {
-        const askedAt = clock.now();
+        const requestedAt = clock.now();
         const state = await leader.askState();
         if (state !== undefined) {
-          leadership.noteState(leader.id, state, askedAt);
+          leadership.noteState(leader.id, state, requestedAt);
         }
         return undefined;
       } catch {
-        // Not a fault of its own: the count of failed probes decides.
+        // Not logged: a failed probe only counts towards PROBE_ATTEMPTS.
         await clock.sleep(PROBE_PAUSE_MS);
       }
     }
@@ -161,24 +168,26 @@
     return 'unreachable';
   }
 
-  async #change(cause: Cause): Promise<void> {
+  async #replacePrimary(cause: ChangeCause): Promise<void> {
     const {log, group, leadership, databases} = this.#options;
     const oldId = leadership.leaderId;
     const candidates = databases().filter(
       ({id, isDraining}) => id !== oldId && !isDraining,
     );
     const others = databases().filter(({id}) => id !== oldId);
-    const states = await this.#survey(
+    const states = await this.#queryStates(
       candidates.length > 0 ? candidates : others,
     );
-    // The survey may have found that another database leads already.
+    // The queries may have shown that another database leads already.
     if (leadership.leaderId !== oldId) return;
-    const received = [...states].map(([id, state]): Standing => [
+    const received = [...states].map(([id, state]): LogEnd => [
       id,
       state.received,
     ]);
-    // A database that answers work and was too busy to say its state can lead.
-    const chosen = mostAdvanced(received) ?? mostAdvanced(shownBy(candidates));
+    // If no database reported its state, those that were too busy to but still
+    // answer requests are candidates.
+    const chosen =
+      mostAdvanced(received) ?? mostAdvanced(visibleLogEnds(candidates));
     if (chosen === undefined) {
       log.warn('noDatabaseToPromote', {group, cause, asked: others.length});
       return;
@@ -199,7 +208,10 @@
     }
   }
 
-  /** Holds writes until the chosen replica has what the primary has. */
+  /**
+   * Holds writes and waits until the chosen replica's log covers the primary's.
+   * Returns the function that releases the writes.
+   */
   async #catchUp(
     oldId: string | undefined,
     chosenId: string,
@@ -208,16 +220,20 @@
     const old = databases().find(({id}) => id === oldId);
     const chosen = databases().find(({id}) => id === chosenId);
     const release = await holdWrites();
-    const until = clock.now() + CATCH_UP_MS;
+    const until = clock.now() + CATCH_UP_TIMEOUT_MS;
     try {
       const wanted = (await old?.askStateSoon())?.received;
       while (wanted !== undefined && clock.now() < until) {
-        const has = (await chosen?.askStateSoon())?.received;
-        if (has !== undefined && comparePositions(has, wanted) >= 0) break;
+        const chosenPosition = (await chosen?.askStateSoon())?.received;
+        if (
+          chosenPosition !== undefined &&
+          comparePositions(chosenPosition, wanted) >= 0
+        )
+          break;
         await clock.sleep(CATCH_UP_POLL_MS);
       }
     } catch (err) {
-      log.warn('catchUpNotProved', {
+      log.warn('catchUpNotConfirmed', {
         group,
         chosen: chosenId,
         message: String(err),
@@ -247,18 +263,19 @@
     await this.#awaitLeader(databaseId);
   }
 
+  /** Waits until the promoted database reports that it leads. */
   async #awaitLeader(databaseId: string): Promise<void> {
     const {clock, databases, leadership, onPromoted, log, group} =
       this.#options;
     const startedAt = clock.now();
-    while (clock.now() - startedAt < TAKE_OVER_MS) {
-      await clock.sleep(TAKE_OVER_POLL_MS);
-      const named = databases().find(({id}) => id === databaseId);
-      if (named === undefined) return;
-      const askedAt = clock.now();
-      const state = await named.askStateSoon().catch(() => undefined);
+    while (clock.now() - startedAt < TAKEOVER_TIMEOUT_MS) {
+      await clock.sleep(TAKEOVER_POLL_MS);
+      const candidate = databases().find(({id}) => id === databaseId);
+      if (candidate === undefined) return;
+      const requestedAt = clock.now();
+      const state = await candidate.askStateSoon().catch(() => undefined);
       if (state !== undefined) {
-        leadership.noteState(databaseId, state, askedAt);
+        leadership.noteState(databaseId, state, requestedAt);
       }
       if (leadership.leaderId !== databaseId || state?.role !== 'primary')
         continue;
@@ -274,8 +291,10 @@
     log.warn('promotionNotSeen', {group, database: databaseId});
   }
 
-  /** Asks again while the database is too busy; undefined once it can't say. */
-  async #askUntil(
+  /**
+   * Queries a database's state, with retries; undefined if none came in time.
+   */
+  async #queryStateUntil(
     database: KeptDatabase,
     until: number,
   ): Promise<DatabaseState | undefined> {
@@ -285,52 +304,52 @@
         const state = await database.askStateSoon();
         if (state !== undefined) return state;
       } catch (err) {
-        log.info('stateNotSaid', {
+        log.info('stateQueryFailed', {
           group,
           database: database.id,
           message: err instanceof Error ? err.message : String(err),
         });
       }
-      await clock.sleep(BUSY_PAUSE_MS);
+      await clock.sleep(BUSY_RETRY_PAUSE_MS);
     }
     return undefined;
   }
 
-  /** The states of the databases that answer in time. */
-  async #survey(
+  /** Queries all databases; returns the states of those that answer in time. */
+  async #queryStates(
     databases: readonly KeptDatabase[],
   ): Promise<ReadonlyMap<string, DatabaseState>> {
     const {clock, leadership} = this.#options;
     const states = new Map<string, DatabaseState>();
-    const until = clock.now() + SURVEY_MS;
-    const asked = databases.map(async database => {
-      const askedAt = clock.now();
-      const state = await this.#askUntil(database, until);
+    const until = clock.now() + STATE_QUERY_TIMEOUT_MS;
+    const queries = databases.map(async database => {
+      const requestedAt = clock.now();
+      const state = await this.#queryStateUntil(database, until);
       if (state === undefined) return;
       states.set(database.id, state);
-      leadership.noteState(database.id, state, askedAt);
+      leadership.noteState(database.id, state, requestedAt);
     });
     const done = new AbortController();
     await Promise.race([
-      Promise.all(asked),
-      clock.sleep(SURVEY_MS, done.signal),
+      Promise.all(queries),
+      clock.sleep(STATE_QUERY_TIMEOUT_MS, done.signal),
     ]);
     done.abort();
     return states;
   }
 }
 
-/** A database and how far its log is known to reach. */
-type Standing = readonly [id: string, position: Position];
+/** A database id and the last known position of its log. */
+type LogEnd = readonly [id: string, position: Position];
 
-function mostAdvanced(standings: readonly Standing[]): string | undefined {
-  const [best] = standings.toSorted(([, a], [, b]) => comparePositions(b, a));
+function mostAdvanced(logEnds: readonly LogEnd[]): string | undefined {
+  const [best] = logEnds.toSorted(([, a], [, b]) => comparePositions(b, a));
   return best?.[0];
 }
 
-/** What the databases showed that answer their work. */
-function shownBy(databases: readonly KeptDatabase[]): readonly Standing[] {
-  return databases.flatMap(({id, isSuspect, shown}): readonly Standing[] =>
+/** The last reported positions of the databases that are not suspected. */
+function visibleLogEnds(databases: readonly KeptDatabase[]): readonly LogEnd[] {
+  return databases.flatMap(({id, isSuspect, shown}): readonly LogEnd[] =>
     isSuspect || shown === undefined ? [] : [[id, shown]],
   );
 }
--- a/src/groups/promotion.ts
+++ b/src/groups/promotion.ts
@@ -1,23 +1,23 @@
-/** Chooses a database to lead and makes it primary. */
+/** Chooses a fenced database and promotes it. */
 import type {Clock} from '../infra/clock.js';
 import {comparePositions} from '../session/position.js';
 import type {FencedDatabase} from './fencing.js';
 import {majorityOf} from './group-view.js';
 import type {DatabaseControl, DatabaseSpec} from './types.js';
 
-const PROMOTE_TRIES = 3;
-const VERIFY_TRIES = 5;
+const PROMOTE_ATTEMPTS = 3;
+const VERIFY_ATTEMPTS = 5;
 const VERIFY_PAUSE_MS = 50;
 
-/** Ranks databases that are equally advanced; the higher is preferred. */
+/** Ranks equally advanced databases; the highest rank is preferred. */
 export type DatabaseRank = (spec: DatabaseSpec) => number;
 
 /**
- * The most advanced of the fenced databases.
+ * Returns the most advanced of the fenced databases.
  *
- * The suspected primary is passed over where the others are a majority of the
- * group by themselves: they hold all that was acknowledged with `ack=replica`,
- * and promoting a primary that its replicas can't hear would mend nothing.
+ * The suspected primary is excluded if the others are a majority of the group
+ * by themselves: they hold every write acknowledged with `ack=replica`, and
+ * promoting a primary that its replicas can't reach would not help.
  */
 export function chooseMostAdvanced(
   fenced: readonly FencedDatabase[],
@@ -26,13 +26,14 @@
   rank: DatabaseRank,
 ): FencedDatabase | undefined {
   const others = fenced.filter(({control}) => control.spec.id !== suspectId);
-  const enough = others.length >= majorityOf(groupSize);
-  return (enough ? others : fenced).toSorted((a, b) =>
-    preferred(a, b, rank),
+  const othersAreMajority = others.length >= majorityOf(groupSize);
+  return (othersAreMajority ? others : fenced).toSorted((a, b) =>
+    compareCandidates(a, b, rank),
   )[0];
 }
 
-function preferred(
+/** Sort comparator: the preferred database first. */
+function compareCandidates(
   a: FencedDatabase,
   b: FencedDatabase,
   rank: DatabaseRank,
@@ -46,7 +47,7 @@
   );
 }
 
-/** What to promote, and for whom. */
+/** Options of {@link promoteAndVerify}. */
 export interface PromotionOrder {
   readonly clock: Clock;
   readonly control: DatabaseControl;
@@ -55,26 +56,27 @@
   readonly timeoutMs: number;
 }
 
-/** The outcome of a promotion. */
+/** The outcome of a promotion; `unknown` if it may still take effect. */
 export type PromotionResult = 'promoted' | 'refused' | 'unknown';
 
 /**
- * Promotes one database and looks whether it leads.
+ * Promotes one database and verifies that it leads.
  *
- * An unanswered order may have had its effect, so it is only ever repeated to
- * the same database: a second one at this term could make two primaries.
+ * An unanswered order may have taken effect, so it is only repeated to the same
+ * database: promoting another one at this term could create two primaries.
  */
 export async function promoteAndVerify(
   order: PromotionOrder,
 ): Promise<PromotionResult> {
-  for (let tries = 0; tries < PROMOTE_TRIES; tries++) {
+  for (let tries = 0; tries < PROMOTE_ATTEMPTS; tries++) {
     const granted = await promoteOnce(order);
     if (granted === false) return 'refused';
     if (granted === true) break;
   }
-  return (await leadsNow(order)) ? 'promoted' : 'unknown';
+  return (await verifyLeads(order)) ? 'promoted' : 'unknown';
 }
 
+/** Returns whether the promotion was granted; undefined without an answer. */
 async function promoteOnce({
   control,
   term,
@@ -88,18 +90,18 @@
   }
 }
 
-async function leadsNow({
+async function verifyLeads({
   clock,
   control,
   term,
   timeoutMs,
 }: PromotionOrder): Promise<boolean> {
-  for (let tries = 0; tries < VERIFY_TRIES; tries++) {
+  for (let tries = 0; tries < VERIFY_ATTEMPTS; tries++) {
     try {
       const status = await control.status(timeoutMs);
       if (status.role === 'primary' && status.term === term) return true;
     } catch {
-      // Asked again below; the order itself is not repeated.
+      // Only the status query is retried, not the promotion.
     }
     await clock.sleep(VERIFY_PAUSE_MS);
   }
--- a/src/groups/confirm-lane.ts
+++ b/src/groups/replica-confirmer.ts
@@ -1,4 +1,4 @@
-/** Confirms many writes at one replica by one question at a time. */
+/** Batches the confirmation requests for one replica. */
 import type {Clock} from '../infra/clock.js';
 import {
   covers,
@@ -8,34 +8,41 @@
 } from '../session/position.js';
 import type {ConfirmResult, DatabaseControl} from './types.js';
 
-/** How much the replica must hold before it confirms. */
+/**
+ * What a replica must confirm: `replica`, that its log holds the write;
+ * `primary`, only that it is not fenced above the write's term.
+ */
 export type AckMode = 'replica' | 'primary';
 
-/** A write that waits for the replica's word. */
+/** A write that waits for confirmation by replicas. */
 export interface PendingWrite {
   readonly term: number;
   readonly position: Position;
-  /** False once the write was settled otherwise. */
+  /** False once the write has been acknowledged, superseded or timed out. */
   readonly waiting: boolean;
   onConfirmed(databaseId: string): void;
   onFenced(databaseId: string, fencedTerm: number): void;
 }
 
-/** One question is this long at most, so that progress is seen. */
+/**
+ * Maximum duration of one confirm request. It is short because a timeout
+ * returns the replica's position, so that the next request can confirm lower
+ * writes.
+ */
 const CONFIRM_TIMEOUT_MS = 250;
 const RETRY_PAUSE_MS = 25;
 
 /**
- * Asks one replica for confirmations in one mode: one question at a time,
- * which covers all writes that wait when it is asked.
+ * Requests confirmations from one replica in one mode. At most one request is
+ * in flight; it covers all writes that are pending when it is sent.
  */
-export class ConfirmLane {
+export class ReplicaConfirmer {
   readonly #clock: Clock;
   readonly #control: DatabaseControl;
   readonly #mode: AckMode;
   #pending: PendingWrite[] = [];
   #running = false;
-  /** What the replica held when it last failed to confirm in time. */
+  /** The replica's log position when its last confirm request timed out. */
   #received: Position | undefined;
 
   constructor(clock: Clock, control: DatabaseControl, mode: AckMode) {
@@ -44,7 +51,7 @@
     this.#mode = mode;
   }
 
-  /** Has the replica asked about a write until it is settled. */
+  /** Requests confirmation of a write until it is no longer waiting. */
   add(write: PendingWrite): void {
     this.#pending.push(write);
     if (this.#running) return;
@@ -56,17 +63,17 @@
     for (;;) {
       this.#pending = this.#pending.filter(write => write.waiting);
       if (this.#pending.length === 0) break;
-      await this.#askOnce();
+      await this.#confirmOnce();
     }
     this.#running = false;
   }
 
-  async #askOnce(): Promise<void> {
-    // Writes that join after this line need a later question: with
-    // ack=primary an answer says nothing of a commit that followed it.
-    const asked = [...this.#pending];
-    const term = Math.max(...asked.map(write => write.term));
-    const position = this.#positionToAsk(asked, term);
+  async #confirmOnce(): Promise<void> {
+    // Writes that are added after this line need a later request: with
+    // ack=primary an answer does not cover commits that were made after it.
+    const batch = [...this.#pending];
+    const term = Math.max(...batch.map(write => write.term));
+    const position = this.#positionToConfirm(batch, term);
     let result: ConfirmResult;
     try {
       result = await this.#control.confirm(term, position, CONFIRM_TIMEOUT_MS);
@@ -75,16 +82,21 @@
       return;
     }
     this.#received = result.kind === 'timeout' ? result.received : undefined;
-    // What the replica holds it holds for all; a term only for those asked.
-    const told = this.#mode === 'replica' ? [...this.#pending] : asked;
-    for (const write of told) this.#tell(write, term, result);
+    // A log position confirms every pending write; an unfenced term confirms
+    // only the writes that were pending when the request was sent.
+    const covered = this.#mode === 'replica' ? [...this.#pending] : batch;
+    for (const write of covered) this.#notify(write, term, result);
     if (result.kind === 'fenced') await this.#clock.sleep(RETRY_PAUSE_MS);
   }
 
-  /** The highest position that the replica is not known to lack. */
-  #positionToAsk(asked: readonly PendingWrite[], term: number): Position {
+  /**
+   * The highest position of the batch that the replica is known to hold, so
+   * that a lagging replica confirms what it can; if it holds none of them or
+   * its position is not known, the highest position of all.
+   */
+  #positionToConfirm(batch: readonly PendingWrite[], term: number): Position {
     if (this.#mode === 'primary') return START_POSITION;
-    const positions = asked
+    const positions = batch
       .filter(write => write.term === term)
       .map(write => write.position);
     const received = this.#received;
@@ -94,15 +106,15 @@
     return (held.length > 0 ? held : positions).reduce(laterPosition);
   }
 
-  #tell(write: PendingWrite, term: number, result: ConfirmResult): void {
+  #notify(write: PendingWrite, term: number, result: ConfirmResult): void {
     const id = this.#control.spec.id;
     if (result.kind === 'timeout' || write.term > term) return;
     if (result.kind === 'fenced') return write.onFenced(id, result.fencedTerm);
-    // A replica that follows a later term is fenced above the write's.
+    // A replica that follows a later term is fenced above the write's term.
     if (write.term < term) return write.onFenced(id, term);
-    const enough =
+    const isConfirmed =
       this.#mode === 'primary' || covers(result.received, write.position);
-    if (!enough) return;
+    if (!isConfirmed) return;
     this.#pending = this.#pending.filter(other => other !== write);
     write.onConfirmed(id);
   }
--- a/src/groups/types.ts
+++ b/src/groups/types.ts
@@ -1,7 +1,7 @@
-/** Database groups as the platform describes them, and the port to a database. */
+/** Database groups as the platform lists them, and the port to one database. */
 import type {Position} from '../session/position.js';
 
-/** Which side of a move a database belongs to. */
+/** The provider that runs a database, in a migration from `old` to `new`. */
 export type Provider = 'old' | 'new';
 
 /** One database of a group. */
@@ -11,70 +11,76 @@
   readonly port: number;
   readonly dataCentre: string;
   readonly provider: Provider;
-  /** Statements it executes at the same time. */
+  /** Statements that it executes concurrently. */
   readonly slots: number;
-  /** Connections it accepts from all VMs together. */
+  /** Maximum number of connections from all VMs together. */
   readonly maxConnections: number;
 }
 
-/** A database group: one primary and its replicas under a rising term. */
+/**
+ * A database group: one primary and its replicas. Each promotion raises its
+ * term.
+ */
 export interface GroupSpec {
   readonly name: string;
   readonly databases: readonly DatabaseSpec[];
 }
 
-/** The store key that holds the platform's groups, a JSON array of GroupSpec. */
+/**
+ * The store key that holds the platform's groups, a JSON array of GroupSpec.
+ */
 export const GROUPS_KEY = 'platform/groups';
 
-/** What a database says of itself. */
+/** The status that a database reports. */
 export interface DatabaseStatus {
   readonly role: 'primary' | 'replica';
-  /** The term this database follows or leads. */
+  /** The term (epoch) that this database follows or leads. */
   readonly term: number;
-  /** The highest term it was fenced at; work of older terms is refused. */
+  /** The highest term that it was fenced at; it refuses work of older terms. */
   readonly fencedTerm: number;
-  /** Who fenced it at `fencedTerm`. */
+  /** Id of the orderer that fenced it at `fencedTerm`. */
   readonly fencedBy: string;
-  /** The last log entry that it holds durably. */
+  /** Position of the last log entry that it holds durably. */
   readonly received: Position;
-  /** The last log entry that reads on it see. */
+  /** Position of the last log entry that its reads include. */
   readonly applied: Position;
-  /** Milliseconds since it last heard from its primary; 0 on a primary. */
+  /** Milliseconds since it last received from its primary; 0 on a primary. */
   readonly upstreamSilentMs: number;
 }
 
-/** The answer to a fence order. */
+/** The answer to {@link DatabaseControl.fence}. */
 export type FenceResult =
   | {readonly kind: 'fenced'; readonly status: DatabaseStatus}
   | {readonly kind: 'refused'; readonly fencedTerm: number};
 
-/** The answer to a confirmation. */
+/** The answer to {@link DatabaseControl.confirm}. */
 export type ConfirmResult =
   | {readonly kind: 'confirmed'; readonly received: Position}
   | {readonly kind: 'fenced'; readonly fencedTerm: number}
   | {readonly kind: 'timeout'; readonly received: Position};
 
 /**
- * The control side of one database. Calls reject with `TargetError` when the
- * database can't be reached or does not answer within the timeout.
+ * Port to the control interface of one database. Calls reject with
+ * `TargetError` if the database can't be reached or does not answer in time.
  */
 export interface DatabaseControl {
   readonly spec: DatabaseSpec;
   status(timeoutMs: number): Promise<DatabaseStatus>;
   /**
-   * Fences the database at `term` for `orderer`: from then on it refuses work
-   * and confirmations of older terms. A term is granted to one orderer only;
-   * the same orderer may repeat itself.
+   * Fences the database at `term` for `orderer`: it then refuses work and
+   * confirmations of older terms. A term is granted to one orderer only, which
+   * may repeat the call.
    */
   fence(term: number, orderer: string, timeoutMs: number): Promise<FenceResult>;
   /**
-   * Makes the database primary of `term`. Refused unless it is fenced at
+   * Makes the database primary of `term`. Returns false unless it is fenced at
    * exactly that term by the same orderer.
    */
   promote(term: number, orderer: string, timeoutMs: number): Promise<boolean>;
   /**
-   * Resolves when this database still follows `term`, unfenced above it, and
-   * holds the log durably up to `position`; or says why it can't.
+   * Waits until the database holds the log durably up to `position`, while it
+   * follows `term` and is not fenced above it. Resolves with the reason if the
+   * database is fenced or the timeout passes.
    */
   confirm(
     term: number,
--- a/src/routing/certificates.ts
+++ b/src/routing/certificates.ts
@@ -4,8 +4,8 @@
 /** Certificates closer together than this add nothing to a choice. */
 const MIN_SPACING_MS = 20;
 /** Older certificates than this serve no route. */
-const KEEP_MS = 60_000;
-const MAX_KEPT = 1_000;
+const MAX_AGE_MS = 60_000;
+const MAX_CERTIFICATES = 1_000;
 
 /** A position and the moment for which it counts. */
 interface Certificate {
@@ -24,24 +24,24 @@
  * const needed = certificates.covering(clock.now() - route.maxStalenessMs);
  */
 export class PositionCertificates {
-  readonly #kept: Certificate[] = [];
+  readonly #certificates: Certificate[] = [];
 
   /** The moment of the newest certificate; -Infinity without one. */
   get newestAt(): number {
-    return this.#kept.at(-1)?.sentAt ?? -Infinity;
+    return this.#certificates.at(-1)?.sentAt ?? -Infinity;
   }
 
   /** Notes what a primary reported to a command sent at `sentAt`. */
   note(position: Position, sentAt: number): void {
-    const last = this.#kept.at(-1);
+    const last = this.#certificates.at(-1);
     if (last !== undefined) {
       if (sentAt <= last.sentAt || !covers(position, last.position)) return;
-      const before = this.#kept.at(-2);
+      const before = this.#certificates.at(-2);
       const isClose = sentAt - (before?.sentAt ?? -Infinity) < MIN_SPACING_MS;
-      if (isClose) this.#kept.pop();
+      if (isClose) this.#certificates.pop();
     }
-    this.#kept.push({sentAt, position});
-    this.#forget(sentAt);
+    this.#certificates.push({sentAt, position});
+    this.#evictBefore(sentAt);
   }
 
   /**
@@ -49,11 +49,11 @@
    * `moment`; undefined if nothing proves that much.
    */
   covering(moment: number): Position | undefined {
-    return this.#kept.find(({sentAt}) => sentAt >= moment)?.position;
+    return this.#certificates.find(({sentAt}) => sentAt >= moment)?.position;
   }
 
-  #forget(now: number): void {
-    while (this.#kept.length > MAX_KEPT) this.#kept.shift();
-    while ((this.#kept[0]?.sentAt ?? now) < now - KEEP_MS) this.#kept.shift();
+  #evictBefore(now: number): void {
+    while (this.#certificates.length > MAX_CERTIFICATES) this.#certificates.shift();
+    while ((this.#certificates[0]?.sentAt ?? now) < now - MAX_AGE_MS) this.#certificates.shift();
   }
 }
--- a/src/routing/classify-statement.ts
+++ b/src/routing/classify-statement.ts
@@ -77,14 +77,14 @@
   }
   if (usesTemporaryRelation(statement)) return TEMPORARY_MESSAGE;
   const cursor = statement['DeclareCursorStmt'];
-  if (isTree(cursor) && holdsCursor(cursor)) return HELD_CURSOR_MESSAGE;
+  if (isTree(cursor) && isHeldCursor(cursor)) return HELD_CURSOR_MESSAGE;
   const functions = calledFunctions(statement);
   if (functions.some(isSessionLock)) return ADVISORY_LOCK_MESSAGE;
   if (functions.includes('set_config')) return SET_CONFIG_MESSAGE;
   return undefined;
 }
 
-function holdsCursor(cursor: Tree): boolean {
+function isHeldCursor(cursor: Tree): boolean {
   return (Number(cursor['options'] ?? 0) & CURSOR_WITH_HOLD_BIT) !== 0;
 }
 
@@ -127,15 +127,15 @@
   if (kind === 'VAR_RESET_ALL') {
     return unsupported('RESET ALL is not supported; reset each by its name');
   }
-  const own = name.startsWith(PROXY_PARAMETER_PREFIX);
+  const isProxyParameter = name.startsWith(PROXY_PARAMETER_PREFIX);
   if (body['is_local'] === true) {
-    if (own) return unsupported(`SET LOCAL ${name} is not supported; use SET`);
+    if (isProxyParameter) return unsupported(`SET LOCAL ${name} is not supported; use SET`);
     return {kind: 'write'};
   }
   if (kind === 'VAR_SET_MULTI' && name === 'transaction') {
     return {kind: 'write'};
   }
-  if (!own && !SESSION_PARAMETERS.has(name)) {
+  if (!isProxyParameter && !SESSION_PARAMETERS.has(name)) {
     return unsupported(
       `SET ${name} is not supported; use SET LOCAL inside a transaction`,
     );
@@ -150,8 +150,8 @@
 
 function classifyShow(body: Tree): Statement {
   const name = textOf(body, 'name').toLowerCase();
-  const kept = SESSION_PARAMETERS.has(name);
-  if (kept || name.startsWith(PROXY_PARAMETER_PREFIX)) {
+  const isSessionParameter = SESSION_PARAMETERS.has(name);
+  if (isSessionParameter || name.startsWith(PROXY_PARAMETER_PREFIX)) {
     return {kind: 'show', name};
   }
   return {kind: 'read'};
--- a/src/routing/read-placement.ts
+++ b/src/routing/read-placement.ts
@@ -13,9 +13,9 @@
 import {covers, type Position} from '../session/position.js';
 
 /** Waits that the primary's queue is counted for: its other work can't move. */
-const PRIMARY_HANDICAP = 1;
+const PRIMARY_PENALTY_STATEMENTS = 1;
 /** A replica that fell short is not asked for as much again for this long. */
-const LAG_MEMORY_MS = 150;
+const SHORTFALL_TTL_MS = 150;
 
 /** What is known of one database when a read arrives. */
 export interface PlacementCandidate {
@@ -60,26 +60,26 @@
     .filter(one => one.isReachable && !avoid.has(one.id))
     .filter(
       one =>
-        one.isPrimary || (needed !== undefined && mayShow(one, needed, now)),
+        one.isPrimary || (needed !== undefined && mayInclude(one, needed, now)),
     )
     .map(one => ({id: one.id, waitMs: expectedWaitMs(one)}))
     .toSorted((a, b) => a.waitMs - b.waitMs)
     .map(({id}) => id);
 }
 
-function mayShow(
+function mayInclude(
   {shown, fellShort}: PlacementCandidate,
   needed: Position,
   now: number,
 ): boolean {
   if (shown !== undefined && covers(shown, needed)) return true;
-  if (fellShort === undefined || now - fellShort.at > LAG_MEMORY_MS)
+  if (fellShort === undefined || now - fellShort.at > SHORTFALL_TTL_MS)
     return true;
   return !covers(needed, fellShort.of);
 }
 
-function expectedWaitMs(one: PlacementCandidate): number {
-  const queued = (one.outstanding / Math.max(1, one.slots)) * one.costMs;
-  const handicap = one.isPrimary ? PRIMARY_HANDICAP * one.costMs : 0;
-  return queued + handicap + one.openingMs + one.distanceMs;
+function expectedWaitMs(candidate: PlacementCandidate): number {
+  const queuedMs = (candidate.outstanding / Math.max(1, candidate.slots)) * candidate.costMs;
+  const primaryPenaltyMs = candidate.isPrimary ? PRIMARY_PENALTY_STATEMENTS * candidate.costMs : 0;
+  return queuedMs + primaryPenaltyMs + candidate.openingMs + candidate.distanceMs;
 }
--- a/src/routing/read-router.ts
+++ b/src/routing/read-router.ts
@@ -55,7 +55,7 @@
     this.#monitor = options.monitor;
     this.#ages = new ReplicaAges(options.monitor.current().databases.length);
     this.#stopListening = this.#monitor.onReport(report => {
-      this.#noteReport(report);
+      this.#recordReport(report);
     });
   }
 
@@ -117,12 +117,17 @@
     });
   }
 
-  #noteReport({databaseId, status, askedAt, answeredAt}: StatusReport): void {
-    this.#ages.recordFence(databaseId, status.fencedTerm, askedAt);
+  #recordReport({
+    databaseId,
+    status,
+    requestedAt,
+    receivedAt,
+  }: StatusReport): void {
+    this.#ages.recordFence(databaseId, status.fencedTerm, requestedAt);
     if (status.role === 'primary') {
-      this.#ages.recordPrimary(status.term, status.received, askedAt);
+      this.#ages.recordPrimary(status.term, status.received, requestedAt);
     } else {
-      this.#ages.recordReplica(databaseId, status.applied, answeredAt);
+      this.#ages.recordReplica(databaseId, status.applied, receivedAt);
     }
   }
 }
@@ -132,11 +137,11 @@
  * not, its answer must not reach the caller.
  */
 export function isReadCurrent(
-  ran: Position | undefined,
+  readPosition: Position | undefined,
   needed: Position | undefined,
 ): boolean {
   if (needed === undefined) return true;
-  return ran !== undefined && covers(ran, needed);
+  return readPosition !== undefined && covers(readPosition, needed);
 }
 
 /** A session that has seen a newer term than this node needs its primary. */
--- a/src/routing/read-rules.ts
+++ b/src/routing/read-rules.ts
@@ -88,10 +88,10 @@
  */
 export function isReadQuery(query: unknown): boolean {
   if (!isTree(query) || !('SelectStmt' in query)) return false;
-  return !someKey(query, isDoubtful);
+  return !someKey(query, mayWrite);
 }
 
-function isDoubtful(key: string, child: unknown): boolean {
+function mayWrite(key: string, child: unknown): boolean {
   if (WRITING_KEYS.has(key)) return true;
   if (!isNodeType(key)) return false;
   if (!READ_NODES.has(key)) return true;
--- a/src/routing/replica-ages.ts
+++ b/src/routing/replica-ages.ts
@@ -54,7 +54,7 @@
     if (last !== undefined && last.at > at) return;
     if (last !== undefined && !covers(position, last.position)) return;
     this.#samples.push({at, position});
-    if (this.#samples.length > this.#maxSamples) this.#thin();
+    if (this.#samples.length > this.#maxSamples) this.#downsample();
   }
 
   /**
@@ -130,7 +130,7 @@
   }
 
   /** Drops every other sample of the older half. */
-  #thin(): void {
+  #downsample(): void {
     const half = Math.floor(this.#samples.length / 2);
     const older = this.#samples.splice(0, half);
     this.#samples.unshift(...older.filter((_, index) => index % 2 === 0));
--- a/src/routing/replica-choice.ts
+++ b/src/routing/replica-choice.ts
@@ -81,7 +81,7 @@
   const preferred = replicas.filter(({spec}) => spec.provider === provider);
   const ready = nearest(input, preferred.filter(isReadyFor(input)));
   if (ready !== undefined) return {kind: 'replica', databaseId: ready.spec.id};
-  const soon = soonest(preferred, input.maxWaitMs);
+  const soon = soonestWithin(preferred, input.maxWaitMs);
   if (soon !== undefined) {
     const {spec, expectedWaitMs} = soon;
     return {kind: 'wait', databaseId: spec.id, expectedMs: expectedWaitMs};
@@ -142,7 +142,7 @@
   return a.spec.id < b.spec.id ? -1 : 1;
 }
 
-function soonest(
+function soonestWithin(
   candidates: readonly ReadCandidate[],
   maxWaitMs: number,
 ): ReadCandidate | undefined {
--- a/src/verdict/retry.ts
+++ b/src/verdict/retry.ts
@@ -3,7 +3,7 @@
 import type {RefusalReason, Verdict} from './verdict.js';
 
 const DEFAULT_RATIO = 0.1;
-const DEFAULT_RESERVE = 10;
+const DEFAULT_MAX_BALANCE = 10;
 const DEFAULT_FIRST_PAUSE_MS = 10;
 const DEFAULT_MAX_PAUSE_MS = 500;
 
@@ -22,22 +22,22 @@
 /** Limits retries to a share of the requests, so that they can't pile up. */
 export class RetryBudget {
   readonly #ratio: number;
-  readonly #reserve: number;
+  readonly #maxBalance: number;
   #balance: number;
 
   /**
    * @param ratio Retries allowed per request.
    * @param reserve The largest balance, and the one at the start.
    */
-  constructor(ratio = DEFAULT_RATIO, reserve = DEFAULT_RESERVE) {
+  constructor(ratio = DEFAULT_RATIO, reserve = DEFAULT_MAX_BALANCE) {
     this.#ratio = ratio;
-    this.#reserve = reserve;
+    this.#maxBalance = reserve;
     this.#balance = reserve;
   }
 
   /** Counts one first try. */
   deposit(): void {
-    this.#balance = Math.min(this.#reserve, this.#balance + this.#ratio);
+    this.#balance = Math.min(this.#maxBalance, this.#balance + this.#ratio);
   }
 
   /** Takes one retry out of the budget; false if it is used up. */
@@ -87,14 +87,14 @@
   for (let tryNumber = 1; ; tryNumber++) {
     const outcome = await attempt(tryNumber);
     if (!isRetryable(outcome.verdict, options.repeatable)) return outcome;
-    const pauseMs = resolvePauseMs(options, outcome.verdict, tryNumber);
+    const pauseMs = nextPauseMs(options, outcome.verdict, tryNumber);
     if (clock.now() + pauseMs + attemptMs > deadlineAt) return outcome;
     if (!budget.tryWithdraw()) return outcome;
     await clock.sleep(pauseMs);
   }
 }
 
-function resolvePauseMs(
+function nextPauseMs(
   options: RetryOptions,
   verdict: Verdict,
   tryNumber: number,
@@ -103,6 +103,6 @@
   const maxMs = options.maxPauseMs ?? DEFAULT_MAX_PAUSE_MS;
   const ceilingMs = Math.min(maxMs, firstMs * 2 ** (tryNumber - 1));
   const jitteredMs = ceilingMs * (0.5 + options.random.next() / 2);
-  const askedMs = verdict.kind === 'notRun' ? (verdict.retryAfterMs ?? 0) : 0;
-  return Math.max(askedMs, jitteredMs);
+  const requestedMs = verdict.kind === 'notRun' ? (verdict.retryAfterMs ?? 0) : 0;
+  return Math.max(requestedMs, jitteredMs);
 }
--- a/test/groups/acknowledgement.test.ts
+++ b/test/groups/acknowledgement.test.ts
@@ -4,7 +4,7 @@
   ackVerdict,
   type AckResult,
 } from '../../src/groups/acknowledgement.js';
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import type {DatabaseControl} from '../../src/groups/types.js';
 import {FakeGroup} from '../fakes/fake-group.js';
 import {VirtualClock, type NodeClock} from '../fakes/virtual-clock.js';
--- a/test/groups/actions.ts
+++ b/test/groups/actions.ts
@@ -1,5 +1,5 @@
 /** What may happen in a schedule of faults. */
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 
 /** The ends of the links: three nodes and three databases. */
 export const NODE_IDS: readonly string[] = ['vm-1', 'vm-2', 'vm-3'];
--- a/test/groups/failover-agent.test.ts
+++ b/test/groups/failover-agent.test.ts
@@ -1,6 +1,6 @@
 import {readdirSync, readFileSync} from 'node:fs';
 import {afterEach, beforeEach, describe, expect, test} from 'vitest';
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import {FakeGroup} from '../fakes/fake-group.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 import {startNodes, type FakeNode, type FakeWrite} from './fake-node.js';
@@ -24,14 +24,17 @@
   for (const node of nodes) node.stop();
 });
 
-function ordered() {
+function orderedFailovers() {
   return nodes.flatMap(({events}) =>
     events.filter(event => event.kind === 'ordered'),
   );
 }
 
 /** Writes once every 10 ms until one is acknowledged; the time it took. */
-async function gapMs(node: FakeNode, ack: AckMode): Promise<number> {
+async function measureWriteGapMs(
+  node: FakeNode,
+  ack: AckMode,
+): Promise<number> {
   const startedAt = time.now();
   let acknowledged = false;
   for (let i = 0; !acknowledged && i < 500; i++) {
@@ -52,7 +55,7 @@
 describe('failover agent', () => {
   test('leaves a healthy group alone', async () => {
     await time.advance(10_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
     expect(nodes[0]!.monitor.current()).toMatchObject({
       term: 1,
       primaryId: 'db-1',
@@ -72,7 +75,9 @@
     ],
   ])('promotes a replica within 1.3 s when the primary %s', async (_, fail) => {
     fail();
-    expect(await gapMs(nodes[1]!, 'replica')).toBeLessThanOrEqual(1_300);
+    expect(await measureWriteGapMs(nodes[1]!, 'replica')).toBeLessThanOrEqual(
+      1_300,
+    );
     expect(group.leader?.spec.id).not.toBe('db-1');
   });
 
@@ -81,13 +86,15 @@
     // Just before it is asked: found unreachable before the replicas complain.
     await time.advance(190);
     group.database('db-1').crash();
-    expect(await gapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(1_000);
+    expect(await measureWriteGapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(
+      1_000,
+    );
   });
 
   test('leaves a primary that answers late but in time', async () => {
     for (const node of NODES) group.links.between(node, 'db-1').delayMs = 240;
     await time.advance(10_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
   });
 
   test('leaves a primary that is away for a moment', async () => {
@@ -95,7 +102,7 @@
     await time.advance(400);
     group.database('db-1').restart();
     await time.advance(2_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
   });
 
   test('orders nothing for the flapping link of one node', async () => {
@@ -105,7 +112,7 @@
       group.links.mend(['vm-1'], ['db-1']);
       await time.advance(300);
     }
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
     expect(nodes[0]!.events).toContainEqual({
       kind: 'linkFault',
       databaseId: 'db-1',
@@ -116,7 +123,7 @@
     group.links.cut(['vm-1'], ['db-1', 'db-2']);
     group.links.cut(['vm-2'], ['db-1', 'db-2']);
     await time.advance(5_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
     expect(group.database('db-3').fencedTerm).toBe(1);
   });
 
@@ -125,7 +132,7 @@
     await time.advance(5_000);
     nodes[0]!.clock.resume();
     await time.advance(3_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
   });
 
   test('takes an old primary back as a replica', async () => {
@@ -137,7 +144,7 @@
       role: 'replica',
       term: group.leader!.term,
     });
-    expect(ordered()).toHaveLength(1);
+    expect(orderedFailovers()).toHaveLength(1);
   });
 
   test.each(MODES)(
@@ -168,7 +175,7 @@
   test('finishes what an orderer left after one fence', async () => {
     group.database('db-2').fence(2, 'vm-9/1');
     await time.advance(1_500);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
     await time.advance(3_000);
     expect(group.leader).toMatchObject({term: 3});
     expect(group.database('db-2').term).toBe(3);
@@ -180,7 +187,9 @@
     ['all', DATABASES],
   ])('finishes what an orderer left after fencing %s', async (_, ids) => {
     for (const id of ids) group.database(id).fence(2, 'vm-9/1');
-    expect(await gapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(1_500);
+    expect(await measureWriteGapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(
+      1_500,
+    );
   });
 
   test('settles on one primary when all nodes notice at once', async () => {
@@ -210,7 +219,7 @@
     for (const {agent} of nodes) agent.hold();
     group.database('db-1').crash();
     await time.advance(3_000);
-    expect(ordered()).toEqual([]);
+    expect(orderedFailovers()).toEqual([]);
     nodes[0]!.agent.release();
     await time.advance(1_000);
     expect(group.leader).toMatchObject({term: 2});
--- a/test/groups/evidence.test.ts
+++ b/test/groups/failover-need.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, test} from 'vitest';
-import {assessNeed, suspect} from '../../src/groups/evidence.js';
+import {assessFailoverNeed, suspect} from '../../src/groups/evidence.js';
 import {groupViewOf, type DatabaseView} from '../../src/groups/group-view.js';
 import type {DatabaseStatus} from '../../src/groups/types.js';
 import {createDatabaseSpec} from '../fakes/database-spec.js';
@@ -41,7 +41,7 @@
   );
 }
 
-const UNREACHABLE = view({unreachableMs: 650}, {}, {});
+const UNREACHABLE_PRIMARY = view({unreachableMs: 650}, {}, {});
 
 describe('suspect', () => {
   test.each([
@@ -52,8 +52,16 @@
       'healthy',
     ],
     ['one silent replica', view({}, {upstreamSilentMs: 900}, {}), 'healthy'],
-    ['too few databases', view({}, {unreachableMs: 1}, {ageMs: 900}), 'blind'],
-    ['nothing known yet', view({unknown: true}, {unknown: true}, {}), 'blind'],
+    [
+      'too few databases',
+      view({}, {unreachableMs: 1}, {ageMs: 900}),
+      'noMajority',
+    ],
+    [
+      'nothing known yet',
+      view({unknown: true}, {unknown: true}, {}),
+      'noMajority',
+    ],
     [
       'an unknown primary that replicas hear',
       view({unknown: true}, {}, {}),
@@ -67,7 +75,7 @@
   const fenced = {fencedTerm: 2};
 
   test.each([
-    ['primaryUnreachable', UNREACHABLE],
+    ['primaryUnreachable', UNREACHABLE_PRIMARY],
     ['primaryIsolated', view({}, silent, silent)],
     ['noPrimary', view({role: 'replica'}, {}, {})],
     ['noPrimary', view({unknown: true}, silent, silent)],
@@ -89,12 +97,14 @@
     ['one of four others fails too', [false, true, true, true], 'linkFault'],
   ])('when %s', async (_, answers, kind) => {
     const evidence = {canReach: () => Promise.resolve(answers)};
-    expect((await assessNeed(UNREACHABLE, evidence)).kind).toBe(kind);
+    expect((await assessFailoverNeed(UNREACHABLE_PRIMARY, evidence)).kind).toBe(
+      kind,
+    );
   });
 
   test('takes a failed question for no answer', async () => {
     const evidence = {canReach: () => Promise.reject(new Error('no peers'))};
-    expect(await assessNeed(UNREACHABLE, evidence)).toEqual({
+    expect(await assessFailoverNeed(UNREACHABLE_PRIMARY, evidence)).toEqual({
       kind: 'linkFault',
       databaseId: 'db-1',
     });
@@ -103,7 +113,9 @@
   test('asks nobody about what the databases say themselves', async () => {
     const evidence = {canReach: () => Promise.reject(new Error('asked'))};
     const silent = {upstreamSilentMs: 900};
-    expect(await assessNeed(view({}, silent, silent), evidence)).toEqual({
+    expect(
+      await assessFailoverNeed(view({}, silent, silent), evidence),
+    ).toEqual({
       kind: 'needed',
       cause: 'primaryIsolated',
       suspectId: 'db-1',
--- a/test/groups/failover.test.ts
+++ b/test/groups/failover.test.ts
@@ -29,7 +29,7 @@
 }
 
 /** Expects an order to end like this, by now or in three seconds. */
-async function expectEnd(
+async function expectOutcome(
   result: ReturnType<typeof orderFailover>,
   expected: object,
 ) {
@@ -67,7 +67,7 @@
   test('passes over an isolated primary that holds more', async () => {
     group.links.cut(['db-1'], ['db-2', 'db-3']);
     group.database('db-1').commit('unacknowledged');
-    await expectEnd(order(1, 1, 'db-1'), {
+    await expectOutcome(order(1, 1, 'db-1'), {
       kind: 'promoted',
       databaseId: 'db-2',
     });
@@ -75,7 +75,7 @@
 
   test('takes the suspect when there is no majority without it', async () => {
     group.database('db-3').crash();
-    await expectEnd(order(1, 1, 'db-1'), {
+    await expectOutcome(order(1, 1, 'db-1'), {
       kind: 'promoted',
       databaseId: 'db-1',
     });
@@ -91,12 +91,12 @@
       suspectId: 'db-1',
       rank: spec => (spec.provider === 'new' ? 1 : 0),
     });
-    await expectEnd(result, {databaseId: 'db-3'});
+    await expectOutcome(result, {databaseId: 'db-3'});
   });
 
   test('fences nothing while it reaches no majority', async () => {
     group.links.cut(['vm-1'], ['db-1', 'db-2']);
-    await expectEnd(order(1, 1), {kind: 'failed', step: 'look'});
+    await expectOutcome(order(1, 1), {kind: 'failed', step: 'look'});
     expect(group.database('db-3').fencedTerm).toBe(1);
   });
 
@@ -105,10 +105,10 @@
     const controls = group.controlsFor('vm-1', clock);
     const seen = {clock, controls, orderer: 'vm-1/1', seenTerm: 1};
     group.database('db-2').fence(2, 'vm-9/1');
-    await expectEnd(orderFailover(seen), {kind: 'outbid', step: 'look'});
+    await expectOutcome(orderFailover(seen), {kind: 'outbid', step: 'look'});
     expect(group.database('db-3').fencedTerm).toBe(1);
     const now = {...seen, orderer: 'vm-1/2', seenTerm: 2};
-    await expectEnd(orderFailover(now), {term: 3});
+    await expectOutcome(orderFailover(now), {term: 3});
   });
 
   test('lets one of two orderers at once have the term', async () => {
@@ -123,7 +123,7 @@
   test('is followed at a higher term after orderers split the votes', async () => {
     group.database('db-2').fence(2, 'vm-8/1');
     group.database('db-3').fence(2, 'vm-9/1');
-    await expectEnd(order(1, 1), {kind: 'promoted', term: 3});
+    await expectOutcome(order(1, 1), {kind: 'promoted', term: 3});
   });
 
   test('promotes no second database after an unanswered promotion', async () => {
@@ -137,7 +137,7 @@
     expectOnePrimaryPerTerm();
     group.links.reset();
     group.onOrder = () => {};
-    await expectEnd(order(1, 2), {kind: 'promoted', term: 3});
+    await expectOutcome(order(1, 2), {kind: 'promoted', term: 3});
     expectOnePrimaryPerTerm();
   });
 
@@ -148,13 +148,13 @@
       group.database('db-2').fence(2, 'vm-9/1');
       group.database('db-3').fence(2, 'vm-9/1');
     };
-    await expectEnd(order(1, 1), {kind: 'outbid', step: 'fence'});
+    await expectOutcome(order(1, 1), {kind: 'outbid', step: 'fence'});
     expect(group.leader).toBeUndefined();
   });
 
   test('gives way when it is outbid before its promotion', async () => {
     onPromotion(id => group.database(id).fence(3, 'vm-9/1'));
-    await expectEnd(order(1, 1), {kind: 'outbid', step: 'promote'});
+    await expectOutcome(order(1, 1), {kind: 'outbid', step: 'promote'});
   });
 
   test('reports no promotion that was superseded at once', async () => {
@@ -162,7 +162,7 @@
       group.links.between('vm-1', id).delayMs = 50;
       time.schedule(70, () => group.database(id).fence(3, 'vm-9/1'));
     });
-    await expectEnd(order(1, 1), {kind: 'failed', step: 'verify'});
+    await expectOutcome(order(1, 1), {kind: 'failed', step: 'verify'});
   });
 
   test('succeeds when the answer to its promotion is lost', async () => {
@@ -170,7 +170,7 @@
       group.links.between('vm-1', id).answersToLose = 1;
       group.onOrder = () => {};
     });
-    await expectEnd(order(1, 1, 'db-1'), {kind: 'promoted', term: 2});
+    await expectOutcome(order(1, 1, 'db-1'), {kind: 'promoted', term: 2});
     expectOnePrimaryPerTerm();
   });
 
@@ -179,7 +179,7 @@
       group.links.between('vm-1', id).duplicateAfterMs = 700;
     }
     await settled(order(1, 1, 'db-1'), 300);
-    await expectEnd(order(2, 1, 'db-2'), {term: 3});
+    await expectOutcome(order(2, 1, 'db-2'), {term: 3});
     await time.advance(2_000);
     expect(group.leader?.term).toBe(3);
     expectOnePrimaryPerTerm();
@@ -221,7 +221,7 @@
       onStep(step, databaseId, () => group.links.cut(['vm-1'], DATABASES));
       void order(1, 1, 'db-1');
       await time.advance(20);
-      await expectEnd(order(2, 1, 'db-1'), {kind: 'promoted'});
+      await expectOutcome(order(2, 1, 'db-1'), {kind: 'promoted'});
       await time.advance(3_000);
       expectOnePrimaryPerTerm();
     },
--- a/test/groups/fake-node.ts
+++ b/test/groups/fake-node.ts
@@ -1,6 +1,6 @@
 /** One node of the system over a fake group. */
 import {AckTracker, type AckResult} from '../../src/groups/acknowledgement.js';
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import type {EvidencePort} from '../../src/groups/evidence.js';
 import {
   FailoverAgent,
@@ -60,7 +60,7 @@
       random: createRandom(seed),
       monitor: this.monitor,
       controls,
-      evidence: evidenceOf(this, peers),
+      evidence: reachabilityOf(this, peers),
       instanceId: id,
       onEvent: event => this.events.push(event),
     });
@@ -145,7 +145,10 @@
   }
 }
 
-function evidenceOf(self: FakeNode, peers: readonly FakeNode[]): EvidencePort {
+function reachabilityOf(
+  self: FakeNode,
+  peers: readonly FakeNode[],
+): EvidencePort {
   return {
     canReach: (_, databaseId) =>
       Promise.resolve(
--- a/test/groups/schedule.test.ts
+++ b/test/groups/schedule.test.ts
@@ -1,6 +1,6 @@
 import fc from 'fast-check';
 import {expect, test} from 'vitest';
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import {DATABASE_IDS, NODE_IDS, type Action, type Step} from './actions.js';
 import {ScheduleRun} from './schedule.js';
 
--- a/test/groups/schedule.ts
+++ b/test/groups/schedule.ts
@@ -1,6 +1,6 @@
 /** Runs schedules of faults against nodes over a fake group. */
 import type {AckResult} from '../../src/groups/acknowledgement.js';
-import type {AckMode} from '../../src/groups/confirm-lane.js';
+import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import {laterPosition, START_POSITION} from '../../src/session/position.js';
 import type {Position} from '../../src/session/position.js';
 import {FakeGroup} from '../fakes/fake-group.js';
@@ -13,7 +13,7 @@
   readonly acknowledged: string[];
 }
 
-const ENDS = [...NODE_IDS, ...DATABASE_IDS];
+const ALL_ENDPOINTS = [...NODE_IDS, ...DATABASE_IDS];
 
 const RECOVERY_MS = 15_000;
 
@@ -57,12 +57,12 @@
     const {group} = this;
     switch (action.kind) {
       case 'isolate': {
-        const others = ENDS.filter(end => !action.ends.includes(end));
-        group.links.mend(ENDS, ENDS);
+        const others = ALL_ENDPOINTS.filter(end => !action.ends.includes(end));
+        group.links.mend(ALL_ENDPOINTS, ALL_ENDPOINTS);
         return group.links.cut(action.ends, others);
       }
       case 'mend':
-        return group.links.mend(ENDS, ENDS);
+        return group.links.mend(ALL_ENDPOINTS, ALL_ENDPOINTS);
       case 'freeze':
         return group.database(action.database).freeze();
       case 'resume':
--- a/test/routing/nearby-reader.test.ts
+++ b/test/routing/nearby-reader.test.ts
@@ -6,12 +6,12 @@
   type NearbyReaderInput,
 } from '../../src/routing/nearby-reader.js';
 
-const PLACES = ['hobart', 'launceston', 'devonport', 'burnie'];
-const REPLICA_PLACES = ['launceston', 'devonport'];
+const DATA_CENTRES = ['hobart', 'launceston', 'devonport', 'burnie'];
+const REPLICA_DATA_CENTRES = ['launceston', 'devonport'];
 /** Of ten statements as the recorded calm days have them. */
-const READS_OF_TEN = 8;
+const READS_PER_TEN = 8;
 
-const members: readonly FleetMember[] = PLACES.flatMap(dataCentre =>
+const members: readonly FleetMember[] = DATA_CENTRES.flatMap(dataCentre =>
   ['a', 'b'].map(name => ({
     id: `${dataCentre}-${name}`,
     host: '10.0.0.1',
@@ -66,11 +66,11 @@
   it('halves the answers that cross between data centres', () => {
     let crossingsBefore = 0;
     let crossings = 0;
-    for (const [n, place] of PLACES.entries()) {
+    for (const [n, place] of DATA_CENTRES.entries()) {
       for (let statement = 0; statement < 1_000; statement++) {
-        const isRead = statement % 10 < READS_OF_TEN;
+        const isRead = statement % 10 < READS_PER_TEN;
         // The home spreads the reads over the group's databases in turn.
-        const spread = ['hobart', ...REPLICA_PLACES][(statement + n) % 3]!;
+        const spread = ['hobart', ...REPLICA_DATA_CENTRES][(statement + n) % 3]!;
         const toHome = place === 'hobart' ? 0 : 1;
         const byHome = toHome + (isRead && spread !== 'hobart' ? 1 : 0);
         crossingsBefore += byHome;
@@ -79,7 +79,7 @@
             isRead,
             dataCentre: place,
             readers: rankHomes('claims', members, place),
-            hasReplica: REPLICA_PLACES.includes(place),
+            hasReplica: REPLICA_DATA_CENTRES.includes(place),
           }),
         );
         if (reader === undefined) crossings += byHome;
--- a/test/routing/replica-ages.test.ts
+++ b/test/routing/replica-ages.test.ts
@@ -5,7 +5,7 @@
 const at = (offset: number, term = 1) => ({term, offset});
 
 /** A group of three whose primary writes an offset a millisecond. */
-function observed(ages: ReplicaAges, fromMs: number, toMs: number) {
+function recordHealthyGroup(ages: ReplicaAges, fromMs: number, toMs: number) {
   for (let now = fromMs; now <= toMs; now += 200) {
     ages.recordPrimary(1, at(now), now);
     ages.recordFence('db-1', 1, now);
@@ -16,7 +16,7 @@
 describe('replica ages', () => {
   test('a replica is as old as the time since the primary was there', () => {
     const ages = new ReplicaAges(3);
-    observed(ages, 0, 1000);
+    recordHealthyGroup(ages, 0, 1000);
     ages.recordReplica('db-2', at(650), 1000);
     expect(ages.ageMs('db-2', 1000)).toBe(400);
     expect(ages.ageMs('db-2', 1100)).toBe(500);
@@ -25,14 +25,14 @@
   test('a replica of which nothing is known has no bounded age', () => {
     const ages = new ReplicaAges(3);
     expect(ages.ageMs('db-2', 0)).toBe(Infinity);
-    observed(ages, 400, 1000);
+    recordHealthyGroup(ages, 400, 1000);
     ages.recordReplica('db-2', at(10), 1000);
     expect(ages.ageMs('db-2', 1000)).toBe(Infinity);
   });
 
   test('a primary that no majority follows makes no replica young', () => {
     const ages = new ReplicaAges(3);
-    observed(ages, 0, 400);
+    recordHealthyGroup(ages, 0, 400);
     ages.recordReplica('db-2', at(400), 400);
     for (let now = 600; now <= 5000; now += 200) {
       ages.recordPrimary(1, at(400), now);
@@ -43,7 +43,7 @@
 
   test('samples of an older term are left out', () => {
     const ages = new ReplicaAges(3);
-    observed(ages, 0, 400);
+    recordHealthyGroup(ages, 0, 400);
     ages.recordPrimary(2, at(401, 2), 600);
     ages.recordPrimary(1, at(500), 800);
     ages.recordFence('db-1', 1, 800);
@@ -57,7 +57,7 @@
 
   test('expects a replica after its usual lag', () => {
     const ages = new ReplicaAges(3);
-    observed(ages, 0, 1000);
+    recordHealthyGroup(ages, 0, 1000);
     ages.recordReplica('db-2', at(800), 830);
     ages.recordPrimary(1, at(1005), 1005);
     expect(ages.expectedWaitMs('db-2', at(1005), 1005)).toBe(30);
