--- a/src/groups/leadership.ts
+++ b/src/groups/leadership.ts
@@ -26,7 +26,7 @@
  *
  * @example
  * leadership.recordAnnouncement('db-1', 'primary', clock.now());
- * leadership.recordAccepted('db-1', 3, sentAt);
+ * leadership.recordProof('db-1', 3, sentAt);
  * leadership.leaderId; // 'db-1'
  */
 export class Leadership {
@@ -72,7 +72,10 @@
     });
   }
 
-  /** Records that a database accepted a command that only a primary accepts. */
+  /**
+   * Records a proof of leadership: a command accepted that only a primary
+   * accepts.
+   */
   noteAccepted(id: string, term: number, sentAt: number): void {
     const known = this.#claims.get(id);
     const wasLeading = known?.leads === true;
--- a/src/groups/primary-keeper.ts
+++ b/src/groups/primary-keeper.ts
@@ -37,7 +37,7 @@
   readonly id: string;
   /** Whether it is draining, before it leaves the group. */
   readonly isDraining: boolean;
-  /** Whether it is suspected to be down, as its requests get no answer. */
+  /** Whether it is suspected to be down and should be probed. */
   readonly isSuspect: boolean;
   /** The last log position reported in its answers. */
   readonly shown: Position | undefined;
@@ -88,7 +88,7 @@
 export class PrimaryKeeper {
   readonly #options: PrimaryKeeperOptions;
   #leaderlessSince: number | undefined;
-  #isChanging = false;
+  #isReplacingPrimary = false;
   #checkedAt = -Infinity;
 
   constructor(options: PrimaryKeeperOptions) {
@@ -97,7 +97,7 @@
 
   /** Whether the primary is being replaced. */
   get isChanging(): boolean {
-    return this.#isChanging;
+    return this.#isReplacingPrimary;
   }
 
   /** Monitors the group until `signal` aborts. */
@@ -122,11 +122,11 @@
     if (leadership.isContested) await this.#queryStates(databases());
     const cause = await this.#findCause();
     if (cause === undefined || !isResponsible()) return;
-    this.#isChanging = true;
+    this.#isReplacingPrimary = true;
     try {
       await this.#replacePrimary(cause);
     } finally {
-      this.#isChanging = false;
+      this.#isReplacingPrimary = false;
     }
   }
 
--- a/src/routing/certificates.ts
+++ b/src/routing/certificates.ts
@@ -1,37 +1,41 @@
-/** Proofs of which log position covers every commit up to a moment. */
+/** Log positions proven to cover every commit up to a point in time. */
 import {covers, type Position} from '../session/position.js';
 
-/** Certificates closer together than this add nothing to a choice. */
+/** Closer certificates are thinned out, as they add nothing to a choice. */
 const MIN_SPACING_MS = 20;
-/** Older certificates than this serve no route. */
+/** Maximum age; no route needs older certificates. */
 const MAX_AGE_MS = 60_000;
 const MAX_CERTIFICATES = 1_000;
 
-/** A position and the moment for which it counts. */
+/** A position that covers every commit acknowledged before `sentAt`. */
 interface Certificate {
   readonly sentAt: number;
   readonly position: Position;
 }
 
 /**
- * Collects the positions that a primary reports when a transaction begins on
- * it. Only a primary accepts that, so the position covers every commit that
- * was acknowledged before the command was sent, whatever the clocks of
- * databases and nodes say.
+ * Records the positions that a primary reports when a transaction begins on it.
+ * Only a primary accepts that command, so the position covers every commit that
+ * was acknowledged before the command was sent. The clocks of databases and
+ * other nodes play no part in this.
  *
  * @example
- * certificates.note({term: 3, offset: 1207}, sentAt);
+ * certificates.record({term: 3, offset: 1207}, sentAt);
  * const needed = certificates.covering(clock.now() - route.maxStalenessMs);
  */
 export class PositionCertificates {
   readonly #certificates: Certificate[] = [];
 
-  /** The moment of the newest certificate; -Infinity without one. */
+  /**
+   * When the command of the newest certificate was sent; -Infinity without one.
+   */
   get newestAt(): number {
     return this.#certificates.at(-1)?.sentAt ?? -Infinity;
   }
 
-  /** Notes what a primary reported to a command sent at `sentAt`. */
+  /**
+   * Records the position that a primary reported to a command sent at `sentAt`.
+   */
   note(position: Position, sentAt: number): void {
     const last = this.#certificates.at(-1);
     if (last !== undefined) {
@@ -45,15 +49,17 @@
   }
 
   /**
-   * The lowest known position that covers every commit acknowledged before
-   * `moment`; undefined if nothing proves that much.
+   * Returns the lowest recorded position that covers every commit acknowledged
+   * before `moment`; undefined if no certificate is that recent.
    */
   covering(moment: number): Position | undefined {
     return this.#certificates.find(({sentAt}) => sentAt >= moment)?.position;
   }
 
   #evictBefore(now: number): void {
-    while (this.#certificates.length > MAX_CERTIFICATES) this.#certificates.shift();
-    while ((this.#certificates[0]?.sentAt ?? now) < now - MAX_AGE_MS) this.#certificates.shift();
+    while (this.#certificates.length > MAX_CERTIFICATES)
+      this.#certificates.shift();
+    while ((this.#certificates[0]?.sentAt ?? now) < now - MAX_AGE_MS)
+      this.#certificates.shift();
   }
 }
--- a/src/routing/classify-statement.ts
+++ b/src/routing/classify-statement.ts
@@ -1,4 +1,4 @@
-/** Classifies one statement of the parser's tree. */
+/** Classifies one parsed statement. */
 import {
   calledFunctions,
   constantsText,
@@ -9,12 +9,12 @@
 import {unsupported, type Statement} from './statement.js';
 import {childOf, isTree, listOf, textOf, type Tree} from './syntax.js';
 
-/** The prefix of the proxy's own parameters. */
+/** Prefix of the session parameters that the proxy itself defines. */
 export const PROXY_PARAMETER_PREFIX = 'zinnia.';
 
 /**
- * Session parameters that the proxy keeps for a session and sets on each
- * connection that it lends to it.
+ * Session parameters that the proxy stores per session and sets on each
+ * connection that the session uses.
  */
 const SESSION_PARAMETERS: ReadonlySet<string> = new Set([
   'application_name',
@@ -27,7 +27,10 @@
   'timezone',
 ]);
 
-/** Statements that would tie a session to one connection, and what to do. */
+/**
+ * Statements refused because they would bind a session to one connection, with
+ * the error message for each.
+ */
 const UNSUPPORTED_NODES: ReadonlyMap<string, string> = new Map([
   ['CopyStmt', 'COPY is not supported; use INSERT or a direct connection'],
   ['ListenStmt', 'LISTEN is not supported; use a direct connection'],
@@ -51,10 +54,10 @@
 const SET_CONFIG_MESSAGE =
   'set_config is not supported; use SET LOCAL inside the transaction';
 
-/** The bit of DeclareCursorStmt.options that stands for WITH HOLD. */
+/** The bit of DeclareCursorStmt.options that means WITH HOLD. */
 const CURSOR_WITH_HOLD_BIT = 0x20;
 
-/** Classifies one statement, given as `{SelectStmt: {...}}` and the like. */
+/** Classifies one statement, given as its parse tree: `{SelectStmt: {...}}`. */
 export function classifyStatement(statement: Tree): Statement {
   const [type = ''] = Object.keys(statement);
   const body = childOf(statement, type);
@@ -111,7 +114,7 @@
   }
 }
 
-/** The last mode wins, as in PostgreSQL. */
+/** Whether a transaction is read-only; the last mode wins, as in PostgreSQL. */
 function opensReadOnly(body: Tree): boolean {
   const modes = listOf(body, 'options')
     .map(option => (isTree(option) ? childOf(option, 'DefElem') : {}))
@@ -129,7 +132,8 @@
   }
   const isProxyParameter = name.startsWith(PROXY_PARAMETER_PREFIX);
   if (body['is_local'] === true) {
-    if (isProxyParameter) return unsupported(`SET LOCAL ${name} is not supported; use SET`);
+    if (isProxyParameter)
+      return unsupported(`SET LOCAL ${name} is not supported; use SET`);
     return {kind: 'write'};
   }
   if (kind === 'VAR_SET_MULTI' && name === 'transaction') {
--- a/src/routing/classify.ts
+++ b/src/routing/classify.ts
@@ -1,4 +1,4 @@
-/** Classifies SQL texts by PostgreSQL's own parser, behind a cache. */
+/** Classifies SQL texts with PostgreSQL's own parser and caches the results. */
 import {hasSqlDetails, loadModule, parseSync} from 'libpg-query';
 import {LRUCache} from 'lru-cache';
 import {classifyStatement} from './classify-statement.js';
@@ -11,19 +11,19 @@
 import {isTree, listOf, type Tree} from './syntax.js';
 
 const DEFAULT_CACHE_CHARS = 4_194_304;
-/** Longer texts are seldom sent twice; they are parsed each time. */
+/** Longer texts are rarely repeated, so they are not cached. */
 const MAX_CACHED_CHARS = 16_384;
 const ENTRY_OVERHEAD_CHARS = 256;
 
 const SYNTAX_ERROR = '42601';
 const STATEMENT_TOO_COMPLEX = '54001';
-/** The parser would stop at a NUL and miss what follows. */
+/** The parser would stop at a NUL and ignore the rest of the text. */
 const NUL_MESSAGE = 'the statement contains a NUL character; remove it';
 
 /** Classifies SQL texts. */
 export interface Classifier {
   /**
-   * Classifies a text of any number of statements.
+   * Classifies a text of zero or more statements.
    *
    * @example
    * (await classifier.classify('select 1')).strictest.kind; // 'read'
@@ -32,7 +32,7 @@
 }
 
 /**
- * Creates a classifier with a cache of its own.
+ * Creates a classifier with its own cache of at most `cacheChars` characters.
  *
  * @example
  * const classifier = createClassifier();
@@ -86,8 +86,8 @@
 }
 
 /**
- * The proxy answers SET and SHOW of what it keeps itself, so they can't stand
- * among statements that a database runs as one batch.
+ * The proxy itself answers SET and SHOW of the parameters that it stores, so
+ * they can't be part of a batch that a database runs.
  */
 function refuseMixed(statement: Statement): Statement {
   if (statement.kind !== 'set' && statement.kind !== 'show') return statement;
--- a/src/routing/nearby-reader.ts
+++ b/src/routing/nearby-reader.ts
@@ -3,39 +3,40 @@
  * centre.
  *
  * Load pattern: most statements are reads that any fresh replica may serve,
- * their answers are the bulk of the bytes, and callers, nodes and replicas lie
- * in several data centres. Where one home served them all, most answers would
- * cross between data centres, many of them twice.
+ * their answers are most of the bytes, and callers, nodes and replicas are
+ * spread over several data centres. If the group's home served all reads, most
+ * answers would cross between data centres, many of them twice.
  *
- * One reader a group and data centre keeps the replica's few connections in
- * one place, as the home does for the group.
+ * There is one reader per group and data centre, so that one node holds the
+ * replica's few connections, as the home does for the group.
  */
 import type {Consistency} from '../catalog/types.js';
 
-/** A node that may be a reader. */
+/** A node that may serve the read. */
 export interface ReaderCandidate {
   readonly id: string;
   readonly dataCentre: string;
 }
 
-/** What the choice depends on. */
+/** Input of {@link chooseNearbyReader}. */
 export interface NearbyReaderInput<Node extends ReaderCandidate> {
-  /** Whether the statement only reads: on its own, or opening a transaction. */
+  /** Whether it is a read or begins a read-only transaction. */
   readonly isRead: boolean;
   readonly consistency: Consistency;
   /** The data centre of the node that the caller is connected to. */
   readonly dataCentre: string;
-  /** The group's home; undefined while there is none. */
+  /** The group's home; undefined if it has none. */
   readonly home: Node | undefined;
-  /** The nodes in order of preference as readers of this data centre. */
+  /** The nodes, in order of preference as readers for this data centre. */
   readonly readers: readonly Node[];
   /** Whether one of the group's replicas is in this data centre. */
   readonly hasReplica: boolean;
 }
 
 /**
- * The reader to ask before the group's home; undefined where the home is as
- * near, or where only the primary may serve.
+ * Returns the reader to try before the group's home; undefined if the home is
+ * as near, the data centre has no replica, or only the primary may serve the
+ * statement.
  *
  * @example
  * const reader = chooseNearbyReader({isRead, consistency, dataCentre, ...});
--- a/src/routing/read-placement.ts
+++ b/src/routing/read-placement.ts
@@ -1,55 +1,62 @@
 /**
  * Places a read on the replicas and the primary of a group.
  *
- * Load pattern: reads far outnumber what one database serves, while writes and
- * reads of the newest state can only go to the primary. Reads that replicas
- * may serve stay off the primary until the replicas' queues are clearly the
- * longer ones, and go to the shortest expected wait among the replicas.
+ * Load pattern: there are far more reads than one database can serve, while
+ * writes and reads of the latest state can only go to the primary. Reads that
+ * replicas may serve go to the replica with the shortest expected wait, and to
+ * the primary only if the replicas' queues are clearly longer.
  *
  * Connections belong to teams, and there are fewer than all teams use at once.
- * Opening one takes a slot for as long as a statement, so a database counts as
- * busier by that much where the team's connections are all in use.
+ * Opening one occupies a slot for about as long as a statement, so that time is
+ * added to the expected wait if the team has no idle connection.
  */
 import {covers, type Position} from '../session/position.js';
 
-/** Waits that the primary's queue is counted for: its other work can't move. */
+/**
+ * Statements added to the primary's queue as a penalty, because its other work
+ * can't run elsewhere.
+ */
 const PRIMARY_PENALTY_STATEMENTS = 1;
-/** A replica that fell short is not asked for as much again for this long. */
+/** How long a replica that lacked a position gets no read that needs it. */
 const SHORTFALL_TTL_MS = 150;
 
-/** What is known of one database when a read arrives. */
+/** The state of one database when a read arrives. */
 export interface PlacementCandidate {
   readonly id: string;
   readonly isPrimary: boolean;
-  /** Whether it answered lately. */
+  /** Whether new work may be sent to it. */
   readonly isReachable: boolean;
-  /** Statements that it runs or that wait for it. */
+  /** Statements running on it or queued for it. */
   readonly outstanding: number;
+  /** Statements that it executes concurrently. */
   readonly slots: number;
-  /** Average time of a statement, in milliseconds. */
+  /** Average execution time of a statement, in milliseconds. */
   readonly costMs: number;
-  /** Time to open a connection first; 0 where the team has one idle. */
+  /** Time to open a connection, in ms; 0 if the team has an idle one. */
   readonly openingMs: number;
-  /** Time on the way there and back, in milliseconds. */
+  /** Network round-trip time, in milliseconds. */
   readonly distanceMs: number;
-  /** The last position that it is known to show. */
+  /** The last log position known to be visible to its reads. */
   readonly shown: Position | undefined;
-  /** When it last refused a position, and which. */
+  /** When it last refused a read because its log lacked `position`. */
   readonly fellShort: {readonly at: number; readonly of: Position} | undefined;
 }
 
-/** What a placement depends on. */
+/** Input of {@link placeRead}. */
 export interface PlacementInput {
   readonly candidates: readonly PlacementCandidate[];
-  /** What a replica's log must hold; undefined: only the primary may serve. */
+  /**
+   * Position that a replica must hold; undefined if only the primary may serve.
+   */
   readonly needed: Position | undefined;
   readonly now: number;
-  /** Databases that failed this read before. */
+  /** Ids of databases that have failed this read. */
   readonly avoid: ReadonlySet<string>;
 }
 
 /**
- * Ids of the databases that may serve the read, the best one first.
+ * Returns the ids of the databases that may serve the read, the shortest
+ * expected wait first.
  *
  * @example
  * const [best] = placeRead({candidates, needed, now, avoid: new Set()});
@@ -57,16 +64,21 @@
 export function placeRead(input: PlacementInput): readonly string[] {
   const {candidates, needed, now, avoid} = input;
   return candidates
-    .filter(one => one.isReachable && !avoid.has(one.id))
+    .filter(candidate => candidate.isReachable && !avoid.has(candidate.id))
     .filter(
-      one =>
-        one.isPrimary || (needed !== undefined && mayInclude(one, needed, now)),
+      candidate =>
+        candidate.isPrimary ||
+        (needed !== undefined && mayInclude(candidate, needed, now)),
     )
-    .map(one => ({id: one.id, waitMs: expectedWaitMs(one)}))
+    .map(candidate => ({
+      id: candidate.id,
+      waitMs: expectedWaitMs(candidate),
+    }))
     .toSorted((a, b) => a.waitMs - b.waitMs)
     .map(({id}) => id);
 }
 
+/** Whether a replica's data may include the needed position. */
 function mayInclude(
   {shown, fellShort}: PlacementCandidate,
   needed: Position,
@@ -79,7 +91,10 @@
 }
 
 function expectedWaitMs(candidate: PlacementCandidate): number {
-  const queuedMs = (candidate.outstanding / Math.max(1, candidate.slots)) * candidate.costMs;
-  const primaryPenaltyMs = candidate.isPrimary ? PRIMARY_PENALTY_STATEMENTS * candidate.costMs : 0;
-  return queuedMs + primaryPenaltyMs + candidate.openingMs + candidate.distanceMs;
+  const queuedMs =
+    (candidate.outstanding / Math.max(1, candidate.slots)) * candidate.costMs;
+  const penaltyMs = candidate.isPrimary
+    ? PRIMARY_PENALTY_STATEMENTS * candidate.costMs
+    : 0;
+  return queuedMs + penaltyMs + candidate.openingMs + candidate.distanceMs;
 }
--- a/src/routing/read-router.ts
+++ b/src/routing/read-router.ts
@@ -1,4 +1,4 @@
-/** Routes the reads of one group by what its monitor reports. */
+/** Routes the reads of one group by the statuses that its monitor receives. */
 import type {GroupView} from '../groups/group-view.js';
 import type {GroupMonitor, StatusReport} from '../groups/monitor.js';
 import type {Clock} from '../infra/clock.js';
@@ -14,29 +14,31 @@
 /** One read to route. */
 export interface ReadRequest {
   readonly sessionId: string;
-  /** `SessionToken.at(group)`. */
+  /** Position that the read must cover, from `SessionToken.at(group)`. */
   readonly position: Position | undefined;
+  /** Maximum age of the data. */
   readonly staleMs: number;
   readonly weights: ProviderWeights;
+  /** How long the read may wait for a replica to catch up. */
   readonly maxWaitMs: number;
-  /** Databases that failed this read before. */
+  /** Ids of databases that have failed this read. */
   readonly avoid?: ReadonlySet<string>;
 }
 
-/** Settings of a router. */
+/** Options of {@link ReadRouter}. */
 export interface ReadRouterOptions {
   readonly clock: Clock;
   readonly monitor: GroupMonitor;
   readonly dataCentre: string;
-  /** Requests that a database runs or that wait for it. */
+  /** Number of requests running on a database or queued for it. */
   readonly outstandingOf: (databaseId: string) => number;
 }
 
 /**
  * Chooses a database for each read of one group.
  *
- * Knowledge ages, so whoever runs the read compares the position that the
- * database reports with the session's by {@link isReadCurrent}.
+ * The statuses may be outdated, so whoever runs the read must check the
+ * position that the database reports with {@link isReadCurrent}.
  *
  * @example
  * const choice = router.choose({sessionId, position: token.at('claims'),
@@ -63,7 +65,9 @@
     this.#stopListening();
   }
 
-  /** Notes a position at which a database ran a batch, sent at `sentAt`. */
+  /**
+   * Records the position reported by a database for a batch sent at `sentAt`.
+   */
   notePosition(databaseId: string, position: Position, sentAt: number): void {
     const {primaryId} = this.#monitor.current();
     if (databaseId === primaryId) {
@@ -73,6 +77,7 @@
     }
   }
 
+  /** Chooses a database for a read. */
   choose(request: ReadRequest): ReadChoice {
     const view = this.#monitor.current();
     const avoided = (id: string | undefined) =>
@@ -88,10 +93,10 @@
     });
   }
 
-  /** The age, at most, of data that a replica showed just now. */
-  ageOfShown(databaseId: string, shown: Position): number {
+  /** Returns the maximum age of data that a replica has just returned. */
+  ageOfShown(databaseId: string, visible: Position): number {
     const now = this.#clock.now();
-    this.#ages.recordReplica(databaseId, shown, now);
+    this.#ages.recordReplica(databaseId, visible, now);
     return this.#ages.ageMs(databaseId, now);
   }
 
@@ -102,7 +107,8 @@
     const now = this.#clock.now();
     return view.databases.map(({spec, reachable}) => {
       const ageMs = this.#ages.ageMs(spec.id, now);
-      // Waiting helps a replica that misses the write, not one that is too old.
+      // Waiting helps if the replica lacks the session's position, but not if
+      // its data is too old.
       const mayWait = position !== undefined && ageMs <= staleMs;
       return {
         spec,
@@ -133,8 +139,8 @@
 }
 
 /**
- * Whether a read that ran at `ran` saw all that the session needs to see; if
- * not, its answer must not reach the caller.
+ * Whether a read at `readPosition` includes everything that the session needs;
+ * if not, its answer must not be returned to the caller.
  */
 export function isReadCurrent(
   readPosition: Position | undefined,
@@ -144,7 +150,10 @@
   return readPosition !== undefined && covers(readPosition, needed);
 }
 
-/** A session that has seen a newer term than this node needs its primary. */
+/**
+ * Returns the primary; undefined if the session has seen a newer term than this
+ * node, since the primary of that term is not known here.
+ */
 function currentPrimary(
   view: GroupView,
   position: Position | undefined,
--- a/src/routing/read-rules.ts
+++ b/src/routing/read-rules.ts
@@ -1,8 +1,8 @@
 /**
- * Decides whether a query surely changes nothing.
+ * Decides whether a query is certain to be read-only.
  *
- * Works by lists of what is allowed, so that syntax of a newer parser is a
- * write until someone has looked at it.
+ * It uses allowlists, so that syntax added by a newer parser counts as a write
+ * until it is listed here.
  */
 import {
   isTree,
@@ -13,7 +13,7 @@
   type Tree,
 } from './syntax.js';
 
-/** Node types that a read may be made of. */
+/** Parse tree node types that a read may contain. */
 const READ_NODES: ReadonlySet<string> = new Set([
   'A_ArrayExpr',
   'A_Const',
@@ -61,7 +61,7 @@
   'lockingClause',
 ]);
 
-/** Functions known to change nothing. */
+/** Functions of `pg_catalog` without side effects. */
 const READ_FUNCTIONS: ReadonlySet<string> = new Set(
   `abs age array_agg array_length array_to_string avg bit_and bit_or bool_and
   bool_or btrim ceil ceiling char_length character_length clock_timestamp concat concat_ws count
@@ -81,7 +81,7 @@
 );
 
 /**
- * Whether a SELECT's tree surely changes nothing.
+ * Whether a parse tree is a SELECT that is certain to be read-only.
  *
  * @example
  * isReadQuery({SelectStmt: {...}});
@@ -91,6 +91,7 @@
   return !someKey(query, mayWrite);
 }
 
+/** Whether a key of the tree is not known to be read-only. */
 function mayWrite(key: string, child: unknown): boolean {
   if (WRITING_KEYS.has(key)) return true;
   if (!isNodeType(key)) return false;
@@ -105,12 +106,14 @@
   return READ_FUNCTIONS.has(name);
 }
 
-/** Node types are written with a capital; fields are not. */
+/** Whether a key is a node type; these are capitalised, fields are not. */
 function isNodeType(key: string): boolean {
   return /^[A-Z]/.test(key);
 }
 
-/** The name of each function that a tree calls, without its schema. */
+/**
+ * Returns the names of all functions that a tree calls, without their schemas.
+ */
 export function calledFunctions(tree: unknown): readonly string[] {
   const names: string[] = [];
   someKey(tree, (key, child) => {
@@ -121,7 +124,7 @@
   return names;
 }
 
-/** Whether a tree creates or names a temporary relation. */
+/** Whether a tree creates or references a temporary relation. */
 export function usesTemporaryRelation(tree: unknown): boolean {
   return someKey(tree, (key, child) => {
     if (key === 'relpersistence') return child === 't';
@@ -129,12 +132,15 @@
   });
 }
 
-/** Whether a tree has a node of one of these types. */
+/** Whether a tree contains a node of one of these types. */
 export function hasNode(tree: unknown, types: ReadonlySet<string>): boolean {
   return someKey(tree, key => types.has(key));
 }
 
-/** The text of the constants of a SET, joined as PostgreSQL joins lists. */
+/**
+ * Returns the constants of a SET as text, joined as PostgreSQL joins lists;
+ * undefined if there are none or an argument is not a constant.
+ */
 export function constantsText(args: readonly unknown[]): string | undefined {
   const texts = args.map(arg => (isTree(arg) ? constantText(arg) : undefined));
   if (texts.length === 0 || texts.includes(undefined)) return undefined;
--- a/src/routing/replica-ages.ts
+++ b/src/routing/replica-ages.ts
@@ -1,33 +1,34 @@
-/** Measures the age of each replica's data on one monotonic clock. */
+/** Bounds the age of each replica's data, using one monotonic clock. */
 import {covers, type Position} from '../session/position.js';
 
 const DEFAULT_MAX_SAMPLES = 256;
 
-/** The primary was at `position` at time `at` or later. */
+/** The primary's position in its answer to a call sent at `at`. */
 interface Sample {
   readonly at: number;
   readonly position: Position;
 }
 
-/** A database was fenced at `fencedTerm` at time `at` or later. */
+/** A database's fenced term in its answer to a call sent at `at`. */
 interface Fence {
   readonly fencedTerm: number;
   readonly at: number;
 }
 
+/** The progress of a replica. */
 interface Replica {
   applied: Position;
-  /** How long after the primary it reached `applied`, estimated. */
+  /** Estimated time by which it reached `applied` later than the primary. */
   lagMs: number;
 }
 
 /**
- * Keeps samples of a primary's position and derives from them how old each
- * replica's data is at most.
+ * Samples the primary's position over time and derives from it the maximum age
+ * of each replica's data.
  *
- * A sample of term t counts only up to the time at which a majority of the
- * group's databases was seen unfenced above t: until then no newer primary can
- * have existed whose writes the sample misses.
+ * A sample of term t counts only up to the last time at which a majority of the
+ * databases was not fenced above t: until then no newer primary can have
+ * existed whose writes the sample would lack.
  */
 export class ReplicaAges {
   readonly #majority: number;
@@ -37,15 +38,18 @@
   readonly #replicas = new Map<string, Replica>();
   #term = 0;
 
-  /** @param databaseCount The number of databases of the group. */
+  /**
+   * @param databaseCount The number of databases of the group.
+   * @param maxSamples The number of samples to keep at most.
+   */
   constructor(databaseCount: number, maxSamples = DEFAULT_MAX_SAMPLES) {
     this.#majority = Math.floor(databaseCount / 2) + 1;
     this.#maxSamples = maxSamples;
   }
 
   /**
-   * Notes that the primary of `term` was at `position`, as learned by a call
-   * sent at `at`.
+   * Records the position that the primary of `term` reported to a call sent at
+   * `at`.
    */
   recordPrimary(term: number, position: Position, at: number): void {
     if (term < this.#term) return;
@@ -58,8 +62,8 @@
   }
 
   /**
-   * Notes the term at which a database, the primary included, was fenced, as
-   * learned by a call sent at `at`.
+   * Records the fenced term that a database, primary or replica, reported to a
+   * call sent at `at`.
    */
   recordFence(databaseId: string, fencedTerm: number, at: number): void {
     const known = this.#fences.get(databaseId);
@@ -67,7 +71,9 @@
     this.#fences.set(databaseId, {fencedTerm, at});
   }
 
-  /** Notes that a replica had applied `position` when it answered at `at`. */
+  /**
+   * Records the position that a replica had applied when it answered at `at`.
+   */
   recordReplica(databaseId: string, applied: Position, at: number): void {
     const known = this.#replicas.get(databaseId);
     if (known !== undefined && !covers(applied, known.applied)) return;
@@ -79,13 +85,13 @@
     this.#replicas.set(databaseId, {applied, lagMs});
   }
 
-  /** What a replica is known to have applied. */
+  /** Returns the last position that a replica is known to have applied. */
   appliedOf(databaseId: string): Position | undefined {
     return this.#replicas.get(databaseId)?.applied;
   }
 
   /**
-   * The age of a replica's data at most, or Infinity if nothing bounds it.
+   * Returns the maximum age of a replica's data; Infinity if there is no bound.
    *
    * @example
    * if (ages.ageMs('claims-2', clock.now()) <= staleMs) { ... }
@@ -100,7 +106,7 @@
     return covered === undefined ? Infinity : now - covered.at;
   }
 
-  /** How long until a replica is expected to have applied `position`. */
+  /** Returns the expected time until a replica has applied `position`. */
   expectedWaitMs(databaseId: string, position: Position, now: number): number {
     const replica = this.#replicas.get(databaseId);
     if (replica === undefined) return Infinity;
@@ -115,7 +121,9 @@
     this.#samples.length = 0;
   }
 
-  /** Up to when a majority was seen unfenced above the term. */
+  /**
+   * Returns the last time at which a majority was not fenced above the term.
+   */
   #verifiedAt(): number {
     const times = [...this.#fences.values()]
       .filter(({fencedTerm}) => fencedTerm <= this.#term)
@@ -124,7 +132,7 @@
     return times[this.#majority - 1] ?? -Infinity;
   }
 
-  /** The first time at which the primary is known to have covered it. */
+  /** Returns the time of the first sample that covers the position. */
   #primaryReachedAt(position: Position): number | undefined {
     return this.#samples.find(sample => covers(sample.position, position))?.at;
   }
--- a/src/routing/replica-choice.ts
+++ b/src/routing/replica-choice.ts
@@ -1,43 +1,45 @@
-/** Chooses the database that serves a read. */
+/** Chooses the database that serves a read, by freshness, distance and load. */
 import {createHash} from 'node:crypto';
 import type {DatabaseSpec, Provider} from '../groups/types.js';
 import {covers, START_POSITION, type Position} from '../session/position.js';
 
 /**
- * How many more requests per slot a replica of the own data centre may have
- * than one of another before the other is chosen.
+ * How many more requests per slot a local replica may have than one in another
+ * data centre before the remote one is chosen.
  */
 const REMOTE_COST_PER_SLOT = 1;
 
 /**
- * How long a read waits for a replica unless its route says otherwise; see
- * docs/design/sessions.md for the measurement.
+ * Default time that a read waits for a replica, if its route sets none;
+ * measured in docs/design/sessions.md.
  */
 export const DEFAULT_MAX_WAIT_MS = 25;
 
-/** How much of a route's reads goes to each provider; any scale. */
+/** Relative shares of a route's reads for each provider, on any scale. */
 export type ProviderWeights = Readonly<Record<Provider, number>>;
 
-/** What is known of one database when a read arrives. */
+/** The state of one database when a read arrives. */
 export interface ReadCandidate {
   readonly spec: DatabaseSpec;
   readonly reachable: boolean;
-  /** The position that reads on it are known to see. */
+  /** The last position known to be visible to its reads. */
   readonly applied: Position | undefined;
-  /** The age of its data at most. */
+  /** Maximum age of its data. */
   readonly ageMs: number;
-  /** Requests that it runs or that wait for it. */
+  /** Requests running on it or queued for it. */
   readonly outstanding: number;
-  /** When it is expected to cover the token and the limit of age. */
+  /**
+   * Expected time until its data meets the session's position and `staleMs`.
+   */
   readonly expectedWaitMs: number;
 }
 
-/** What a choice depends on. */
+/** Input of {@link chooseTarget}. */
 export interface ReadChoiceInput {
   readonly sessionId: string;
-  /** What the session needs to see; undefined if that is not known. */
+  /** Position that the read must cover; undefined if it is not known. */
   readonly position: Position | undefined;
-  /** How old the data may be; 0 asks for the primary. */
+  /** Maximum age of the data; 0 requires the primary. */
   readonly staleMs: number;
   readonly weights: ProviderWeights;
   readonly dataCentre: string;
@@ -52,8 +54,8 @@
   | {readonly kind: 'replica'; readonly databaseId: string}
   | {readonly kind: 'primary'; readonly databaseId: string}
   /**
-   * Wait, then run there. If the position that the replica reports then falls
-   * short of the session's, run at the primary.
+   * Wait, then run on this replica. If the position that it then reports does
+   * not cover the session's, run on the primary.
    */
   | {
       readonly kind: 'wait';
@@ -63,8 +65,8 @@
   | {readonly kind: 'none'; readonly reason: 'noPrimary' | 'staleReplicas'};
 
 /**
- * Chooses the nearest, least loaded replica that the session may read, or a
- * replica worth waiting for, or the primary.
+ * Chooses the nearest and least loaded replica that is fresh enough; else a
+ * replica that will be within `maxWaitMs`; else the primary.
  *
  * @example
  * const choice = chooseTarget(input);
@@ -93,8 +95,8 @@
 }
 
 /**
- * The provider of a session, stable for as long as the weights are: raising
- * one weight moves only sessions towards it.
+ * Returns the provider of a session, by a hash of its id. It is stable while
+ * the weights are, and raising one weight only moves sessions to that provider.
  *
  * @example
  * providerOf('c0ffee', {old: 90, new: 10});
@@ -123,7 +125,9 @@
     applied !== undefined && covers(applied, needed) && ageMs <= input.staleMs;
 }
 
-/** The least loaded, where another data centre counts as some load. */
+/**
+ * Returns the least loaded replica; a remote data centre counts as extra load.
+ */
 function nearest(
   input: ReadChoiceInput,
   candidates: readonly ReadCandidate[],
@@ -142,6 +146,9 @@
   return a.spec.id < b.spec.id ? -1 : 1;
 }
 
+/**
+ * Returns the replica with the shortest expected wait of at most `maxWaitMs`.
+ */
 function soonestWithin(
   candidates: readonly ReadCandidate[],
   maxWaitMs: number,
--- a/src/routing/statement.ts
+++ b/src/routing/statement.ts
@@ -1,28 +1,30 @@
-/** What a statement is, as far as routing needs to know. */
+/** The kinds of statements that routing distinguishes. */
 
-/** One statement, classified. */
+/** The classification of one statement. */
 export type Statement =
   | {readonly kind: 'empty'}
-  /** Changes nothing: may run on a replica and may be repeated. */
+  /** Read-only: may run on a replica and may be repeated. */
   | {readonly kind: 'read'}
-  /** Everything in doubt: runs on the primary, at most once. */
+  /**
+   * Everything not known to be read-only: runs on the primary, at most once.
+   */
   | {readonly kind: 'write'}
   | {readonly kind: 'begin'; readonly readOnly: boolean}
-  /** `chain` opens the next transaction at once. */
+  /** `chain` begins a new transaction immediately (AND CHAIN). */
   | {readonly kind: 'commit'; readonly chain: boolean}
   | {readonly kind: 'rollback'; readonly chain: boolean}
   /** SAVEPOINT, RELEASE and ROLLBACK TO. */
   | {readonly kind: 'savepoint'}
-  /** A session parameter; without a value it goes back to its default. */
+  /** Sets a session parameter; without a value, resets it to its default. */
   | {
       readonly kind: 'set';
       readonly name: string;
       readonly value: string | undefined;
     }
   | {readonly kind: 'show'; readonly name: string}
-  /** Refused with 0A000. */
+  /** Refused with SQLSTATE 0A000. */
   | {readonly kind: 'unsupported'; readonly message: string}
-  /** Refused with the parser's own error. */
+  /** Refused with a syntax error or because it can't be parsed. */
   | {
       readonly kind: 'invalid';
       readonly sqlstate: string;
@@ -34,10 +36,13 @@
 /** The statements of one SQL text. */
 export interface Classification {
   readonly statements: readonly Statement[];
-  /** The statement that binds the whole text. */
+  /**
+   * The statement with the strictest kind; it decides how the text is routed.
+   */
   readonly strictest: Statement;
 }
 
+/** Kinds in ascending order of strictness. */
 const STRICTNESS: readonly Statement['kind'][] = [
   'empty',
   'read',
@@ -52,7 +57,7 @@
   'invalid',
 ];
 
-/** Collects statements into a classification. */
+/** Builds the classification of a text from its statements. */
 export function classificationOf(
   statements: readonly Statement[],
 ): Classification {
--- a/src/routing/syntax.ts
+++ b/src/routing/syntax.ts
@@ -1,32 +1,32 @@
-/** Helpers to look into the parser's JSON tree. */
+/** Helpers for reading the parser's JSON parse tree. */
 
-/** A node of the parse tree. */
+/** An object of the parse tree: a node, or a wrapper keyed by node type. */
 export type Tree = Readonly<Record<string, unknown>>;
 
-/** Whether a value is an object of the tree. */
+/** Whether a value is an object of the parse tree. */
 export function isTree(value: unknown): value is Tree {
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** A child that is an object; an empty one if there is none. */
+/** Returns a child object; an empty one if there is none. */
 export function childOf(tree: Tree, key: string): Tree {
   const child = tree[key];
   return isTree(child) ? child : {};
 }
 
-/** A child that is a list; an empty one if there is none. */
+/** Returns a child list; an empty one if there is none. */
 export function listOf(tree: Tree, key: string): readonly unknown[] {
   const child = tree[key];
   return Array.isArray(child) ? child : [];
 }
 
-/** A child that is text; empty if there is none. */
+/** Returns a child string; an empty one if there is none. */
 export function textOf(tree: Tree, key: string): string {
   const child = tree[key];
   return typeof child === 'string' ? child : '';
 }
 
-/** The parts of a qualified name, such as a function's. */
+/** Returns the parts of a qualified name, such as a function's. */
 export function namePartsOf(list: readonly unknown[]): readonly string[] {
   return list.map(part =>
     isTree(part) ? textOf(childOf(part, 'String'), 'sval') : '',
@@ -34,8 +34,8 @@
 }
 
 /**
- * Visits each key of each object of a tree; stops when `visit` returns true,
- * and says whether it did.
+ * Whether `visit` returns true for any key of any object of a tree; stops at
+ * the first one.
  */
 export function someKey(
   value: unknown,
--- a/src/session/position.ts
+++ b/src/session/position.ts
@@ -1,14 +1,15 @@
 /**
- * A place in a database group's log: the term that wrote it, and the offset.
+ * A position in a database group's log (log sequence number): the term of the
+ * entry and its offset.
  *
  * Positions are ordered by term first. A promoted database writes an entry of
  * its new term before it accepts work, so a position of a newer term covers
- * every acknowledged write of the older ones.
+ * every acknowledged write of older terms.
  */
 export interface Position {
-  /** The term of the entry; 0 before any term began. */
+  /** The term of the entry; 0 before the first term. */
   readonly term: number;
-  /** The entry's offset in the log; offsets only rise within a term. */
+  /** The entry's offset in the log; offsets increase within a term. */
   readonly offset: number;
 }
 
@@ -16,7 +17,8 @@
 export const START_POSITION: Position = {term: 0, offset: 0};
 
 /**
- * Orders two positions: negative, zero or positive like a sort comparator.
+ * Compares two positions; returns a negative number, zero or a positive number,
+ * like a sort comparator.
  *
  * @example
  * comparePositions({term: 2, offset: 1}, {term: 1, offset: 9}) > 0;
@@ -30,13 +32,13 @@
   return comparePositions(have, wanted) >= 0;
 }
 
-/** The later of two positions. */
+/** Returns the later of two positions. */
 export function laterPosition(a: Position, b: Position): Position {
   return comparePositions(a, b) >= 0 ? a : b;
 }
 
 /**
- * Writes a position as `term/offset`.
+ * Formats a position as `term/offset`.
  *
  * @example
  * formatPosition({term: 3, offset: 1042}) === '3/1042';
@@ -45,7 +47,7 @@
   return `${position.term}/${position.offset}`;
 }
 
-/** Reads `term/offset`; undefined if the text is not a position. */
+/** Parses `term/offset`; undefined if the text is not a position. */
 export function parsePosition(text: string): Position | undefined {
   const match = /^(\d{1,15})\/(\d{1,15})$/.exec(text);
   if (match === null) return undefined;
--- a/src/session/token-signer.ts
+++ b/src/session/token-signer.ts
@@ -1,18 +1,20 @@
-/** Signs session tokens so that callers can't alter them. */
+/** Signs session tokens, so that callers can't forge or alter them. */
 import {createHmac, timingSafeEqual} from 'node:crypto';
 
 const MIN_SECRET_BYTES = 16;
-/** Keeps a signature of another use of the same secret from being valid here. */
+/**
+ * Domain separation: signatures of other uses of the secret are not valid here.
+ */
 const PURPOSE = 'zinnia-session-token:';
 
-/** Signs and verifies the text of session tokens by HMAC-SHA256. */
+/** Signs and verifies the text of session tokens with HMAC-SHA256. */
 export class TokenSigner {
   readonly #secret: Buffer;
   readonly #accepted: readonly Buffer[];
 
   /**
-   * @param secret The secret that signs.
-   * @param previousSecrets Secrets still accepted while a new one rolls out.
+   * @param secret The secret used to sign.
+   * @param previousSecrets Secrets still accepted during a rotation.
    *
    * @example
    * const signer = new TokenSigner(newSecret, [oldSecret]);
@@ -25,7 +27,7 @@
     this.#accepted = [this.#secret, ...previousSecrets.map(checkedSecret)];
   }
 
-  /** The signature of a text, in base64url. */
+  /** Returns the signature of a text, in base64url. */
   sign(text: string): string {
     return hmac(this.#secret, text).toString('base64url');
   }
--- a/src/session/token.ts
+++ b/src/session/token.ts
@@ -1,4 +1,7 @@
-/** The session token: what a session has written or seen, per group. */
+/**
+ * The session token: the log position that a session has written or read, per
+ * group.
+ */
 import {
   covers,
   formatPosition,
@@ -9,10 +12,10 @@
 } from './position.js';
 import type {TokenSigner} from './token-signer.js';
 
-/** Groups that one token lists at most; the longest unused is left out. */
+/** Maximum number of groups in a token; the least recently used are dropped. */
 export const MAX_TOKEN_GROUPS = 64;
 
-/** Characters of a token's text form at most. */
+/** Maximum length of an encoded token, in characters. */
 export const MAX_TOKEN_CHARS = 24_576;
 
 const FORMAT_VERSION = 'z1';
@@ -20,24 +23,24 @@
 const PARTIAL = 'p';
 const FIELD_SEPARATOR = ' ';
 
-/** The outcome of reading a token's text form. */
+/** The outcome of decoding a token. */
 export type DecodedToken =
   | {readonly kind: 'valid'; readonly token: SessionToken}
   | {readonly kind: 'malformed'; readonly message: string}
   | {readonly kind: 'forged'; readonly message: string};
 
 /**
- * An immutable map of group names to the position that the session has written
- * or seen there.
+ * An immutable map from group names to the last position that the session has
+ * written or read there.
  *
- * A *complete* token lists every group that the session has touched: a group
- * it does not list was never touched. A partial one may have left groups out,
- * so for these nothing is known and reads belong on the primary.
+ * A *complete* token lists every group that the session has used. A partial one
+ * may lack some, so reads of groups that it does not list must go to the
+ * primary.
  */
 export class SessionToken {
-  /** In order of use, the longest unused first. */
+  /** In order of use, the least recently used first. */
   readonly #positions: ReadonlyMap<string, Position>;
-  /** Whether every group that the session has touched is listed. */
+  /** Whether every group that the session has used is listed. */
   readonly complete: boolean;
 
   private constructor(
@@ -48,17 +51,17 @@
     this.complete = complete;
   }
 
-  /** The token of a session that is known to have touched nothing. */
+  /** Creates the token of a new session, which has used no group yet. */
   static fresh(): SessionToken {
     return new SessionToken(new Map(), true);
   }
 
-  /** The token of a session of whose past nothing is known. */
+  /** Creates the token of a session whose history is unknown. */
   static unknown(): SessionToken {
     return new SessionToken(new Map(), false);
   }
 
-  /** Builds a token of positions, the longest unused first. */
+  /** Builds a token from positions, the least recently used first. */
   static from(
     positions: Iterable<readonly [string, Position]>,
     complete = true,
@@ -66,14 +69,14 @@
     return SessionToken.#bounded(new Map(positions), complete);
   }
 
-  /** The groups listed. */
+  /** The names of the listed groups. */
   get groups(): readonly string[] {
     return [...this.#positions.keys()];
   }
 
   /**
-   * The position that a read of the group must cover, or undefined if nothing
-   * is known of the session there and only the primary will do.
+   * Returns the position that a read of the group must cover; undefined if it
+   * is unknown, so that only the primary may serve the read.
    */
   at(group: string): Position | undefined {
     const position = this.#positions.get(group);
@@ -82,7 +85,8 @@
   }
 
   /**
-   * The token after the session wrote or saw `position`. Positions only rise.
+   * Returns the token after the session wrote or read at `position`. Positions
+   * never decrease.
    *
    * @example
    * token = token.with('claims', {term: 3, offset: 1042});
@@ -96,7 +100,7 @@
     return SessionToken.#bounded(positions, this.complete);
   }
 
-  /** The token that covers this one and `other`, of the same session. */
+  /** Returns a token that covers this one and `other` of the same session. */
   merge(other: SessionToken): SessionToken {
     const positions = new Map(this.#positions);
     for (const [group, position] of other.#positions) {
@@ -111,7 +115,7 @@
   }
 
   /**
-   * Writes the token as signed text of letters, digits, `.`, `-` and `_`.
+   * Encodes the token as signed text of letters, digits, `.`, `-` and `_`.
    *
    * @example
    * const text = token.encode(signer); // 'z1.Yy...'
@@ -126,7 +130,7 @@
     return `${body}.${signer.sign(body)}`;
   }
 
-  /** Leaves out the longest unused groups past the bound. */
+  /** Builds a token, dropping the least recently used groups over the limit. */
   static #bounded(
     positions: Map<string, Position>,
     complete: boolean,
@@ -142,7 +146,7 @@
 }
 
 /**
- * Reads a token's text form and checks its signature.
+ * Decodes a token and verifies its signature.
  *
  * @example
  * const decoded = decodeToken(text, signer);
--- a/src/verdict/retry.ts
+++ b/src/verdict/retry.ts
@@ -1,4 +1,4 @@
-/** Repeats requests that are known not to have run, within bounds. */
+/** Retries requests within a retry budget and a deadline. */
 import type {Clock, Random} from '../infra/clock.js';
 import type {RefusalReason, Verdict} from './verdict.js';
 
@@ -8,8 +8,8 @@
 const DEFAULT_MAX_PAUSE_MS = 500;
 
 /**
- * Refusals that another try may overcome. A refusal by rate or by load is
- * final: repeating it here would add to the load that caused it.
+ * Refusals that a retry may overcome. A refusal because of rate or load is
+ * final: a retry would add to the load that caused it.
  */
 const TRANSIENT_REASONS: ReadonlySet<RefusalReason> = new Set([
   'noPrimary',
@@ -19,7 +19,7 @@
   'shuttingDown',
 ]);
 
-/** Limits retries to a share of the requests, so that they can't pile up. */
+/** Limits retries to a ratio of the requests, to prevent retry storms. */
 export class RetryBudget {
   readonly #ratio: number;
   readonly #maxBalance: number;
@@ -27,20 +27,20 @@
 
   /**
    * @param ratio Retries allowed per request.
-   * @param reserve The largest balance, and the one at the start.
+   * @param maxBalance The initial and maximum number of retries available.
    */
-  constructor(ratio = DEFAULT_RATIO, reserve = DEFAULT_MAX_BALANCE) {
+  constructor(ratio = DEFAULT_RATIO, maxBalance = DEFAULT_MAX_BALANCE) {
     this.#ratio = ratio;
-    this.#maxBalance = reserve;
-    this.#balance = reserve;
+    this.#maxBalance = maxBalance;
+    this.#balance = maxBalance;
   }
 
-  /** Counts one first try. */
+  /** Credits the budget for one request. */
   deposit(): void {
     this.#balance = Math.min(this.#maxBalance, this.#balance + this.#ratio);
   }
 
-  /** Takes one retry out of the budget; false if it is used up. */
+  /** Withdraws one retry; returns false if the budget is exhausted. */
   tryWithdraw(): boolean {
     if (this.#balance < 1) return false;
     this.#balance -= 1;
@@ -48,22 +48,22 @@
   }
 }
 
-/** What bounds the retries of one request. */
+/** Options of {@link retryNotRun}. */
 export interface RetryOptions {
   readonly clock: Clock;
   readonly random: Random;
   readonly budget: RetryBudget;
-  /** When the request must be answered, on `clock.now()`. */
+  /** Deadline of the request, on `clock.now()`. */
   readonly deadlineAt: number;
-  /** The time another try is expected to take. */
+  /** Expected duration of another attempt. */
   readonly attemptMs: number;
-  /** Whether the request changes nothing and may run more than once. */
+  /** Whether the request is read-only and may run more than once. */
   readonly repeatable: boolean;
   readonly firstPauseMs?: number;
   readonly maxPauseMs?: number;
 }
 
-/** Whether another try of a request with this outcome is safe and of use. */
+/** Whether retrying a request with this outcome is safe and may succeed. */
 export function isRetryable(verdict: Verdict, repeatable: boolean): boolean {
   if (verdict.kind === 'done') return false;
   if (verdict.kind === 'notRun') return TRANSIENT_REASONS.has(verdict.reason);
@@ -71,9 +71,9 @@
 }
 
 /**
- * Runs `attempt` until its outcome is final, and returns the last outcome. It
- * gives up at once when the time left can't fit another try, so that the
- * caller hears a final refusal early.
+ * Runs `attempt` until its outcome is final, and returns the last outcome. If
+ * the time left is too short for another attempt it returns without waiting, so
+ * that the caller receives the refusal early.
  *
  * @example
  * const answer = await retryNotRun(options, () => forwardToHome(req));
@@ -94,6 +94,10 @@
   }
 }
 
+/**
+ * Returns the pause before the next attempt: exponential with jitter, and at
+ * least the refusal's `retryAfterMs`.
+ */
 function nextPauseMs(
   options: RetryOptions,
   verdict: Verdict,
@@ -103,6 +107,7 @@
   const maxMs = options.maxPauseMs ?? DEFAULT_MAX_PAUSE_MS;
   const ceilingMs = Math.min(maxMs, firstMs * 2 ** (tryNumber - 1));
   const jitteredMs = ceilingMs * (0.5 + options.random.next() / 2);
-  const requestedMs = verdict.kind === 'notRun' ? (verdict.retryAfterMs ?? 0) : 0;
+  const requestedMs =
+    verdict.kind === 'notRun' ? (verdict.retryAfterMs ?? 0) : 0;
   return Math.max(requestedMs, jitteredMs);
 }
--- a/src/verdict/sqlstate.ts
+++ b/src/verdict/sqlstate.ts
@@ -1,4 +1,4 @@
-/** The one place that maps a verdict to what the caller sees. */
+/** Maps verdicts to the fields of PostgreSQL error responses. */
 import type {MayHaveRun, NotRun, RefusalReason} from './verdict.js';
 
 /** The SQLSTATE of a request whose outcome is unknown. */
@@ -6,16 +6,17 @@
 
 /** The fields of an ErrorResponse. */
 export interface ErrorFields {
-  /** FATAL where the connection closes after the error. */
+  /** FATAL if the connection is closed after the error. */
   readonly severity: 'ERROR' | 'FATAL';
   readonly sqlstate: string;
   readonly message: string;
-  /** `key=value` pairs for programs. */
+  /** Machine-readable `key=value` pairs. */
   readonly detail: string;
-  /** What to do next, in words. */
+  /** Advice for the user on what to do next. */
   readonly hint: string;
 }
 
+/** The constant error fields of a refusal reason. */
 interface RefusalRule {
   readonly severity: ErrorFields['severity'];
   readonly sqlstate: string;
@@ -130,7 +131,7 @@
 }
 
 /**
- * Reads the retry time back out of a detail field; undefined if it has none.
+ * Parses the retry time in a detail field; undefined if there is none.
  *
  * @example
  * readRetryAfterMs('outcome=not_run reason=overloaded retry_after_ms=40'); // 40
--- a/src/verdict/verdict.ts
+++ b/src/verdict/verdict.ts
@@ -1,8 +1,8 @@
 /**
- * The outcome of one request, and above all whether it may have run.
+ * The outcome of a request, above all whether it may have run.
  *
- * Every layer that gives up on a request returns a {@link Verdict}; one place,
- * `sqlstate.ts`, maps it to what the caller sees.
+ * Every layer that gives up on a request returns a {@link Verdict}. Only
+ * `sqlstate.ts` maps it to the error that the caller receives.
  */
 
 /** Why a request was refused before it could reach a target. */
@@ -22,25 +22,25 @@
   | 'homeUnavailable'
   | 'shuttingDown';
 
-/** Why it is not known whether a request ran. */
+/** Why it is unknown whether a request ran. */
 export type UncertainReason =
   'targetLost' | 'homeLost' | 'termChanged' | 'ackTimeout' | 'deadline';
 
-/** The request ran and its whole answer was delivered. */
+/** The request ran and its complete answer was delivered. */
 export interface Done {
   readonly kind: 'done';
 }
 
-/** The request is known not to have run; it is safe to send again. */
+/** The request is known not to have run; it is safe to retry. */
 export interface NotRun {
   readonly kind: 'notRun';
   readonly reason: RefusalReason;
   readonly message: string;
-  /** When to come back, in milliseconds; absent where a retry cannot help. */
+  /** When to retry, in milliseconds; absent if a retry can't help. */
   readonly retryAfterMs?: number;
 }
 
-/** The request may have run; it must not be repeated blindly. */
+/** The request may have run; unless it is read-only it must not be retried. */
 export interface MayHaveRun {
   readonly kind: 'mayHaveRun';
   readonly reason: UncertainReason;
@@ -50,11 +50,11 @@
 /** The outcome of a request. */
 export type Verdict = Done | NotRun | MayHaveRun;
 
-/** The verdict of a request that ran. */
+/** The verdict of a completed request. */
 export const DONE: Done = {kind: 'done'};
 
 /**
- * Builds a refusal.
+ * Builds the verdict of a request that was refused and did not run.
  *
  * @example
  * notRun('rateLimited', 'team assessors is over its rate', 120);
@@ -70,7 +70,7 @@
 }
 
 /**
- * Builds the verdict of a request whose fate is unknown.
+ * Builds the verdict of a request whose outcome is unknown.
  *
  * @example
  * mayHaveRun('targetLost', 'the connection closed before the answer');
