--- a/test/groups/acknowledgement.test.ts
+++ b/test/groups/acknowledgement.test.ts
@@ -43,31 +43,34 @@
   for (const id of ids) group.database(id).fence(term, 'vm-2/1');
 }
 
-describe('write acknowledgement', () => {
-  test('comes with the first replica that holds the write', async () => {
+describe('AckTracker', () => {
+  test('acknowledges a write once the first replica holds it', async () => {
     group.links.cut(['db-1'], ['db-3']);
     const result = write('w', 'replica');
     expect(await time.outcome(result, 10)).toBeUndefined();
     expect(await time.outcome(result, 30)).toEqual({kind: 'acknowledged'});
   });
 
-  test('waits for no replication with ack=primary', async () => {
+  test('does not wait for replication with ack=primary', async () => {
     expect(await time.outcome(write('w', 'primary'), 1)).toEqual({
       kind: 'acknowledged',
     });
   });
 
-  test.each(MODES)('is refused after a promotion, ack=%s', async ack => {
-    group.links.cut(['db-1'], ['db-2', 'db-3']);
-    fence(['db-2', 'db-3'], 2);
-    group.database('db-2').promote(2, 'vm-2/1');
-    const result = await time.outcome(write('w', ack), 2_000);
-    expect(result).toEqual({kind: 'superseded', term: 2});
-    expect(ackVerdict(result!)).toMatchObject({
-      kind: 'mayHaveRun',
-      reason: 'termChanged',
-    });
-  });
+  test.each(MODES)(
+    'does not acknowledge a write after a later promotion, ack=%s',
+    async ack => {
+      group.links.cut(['db-1'], ['db-2', 'db-3']);
+      fence(['db-2', 'db-3'], 2);
+      group.database('db-2').promote(2, 'vm-2/1');
+      const result = await time.outcome(write('w', ack), 2_000);
+      expect(result).toEqual({kind: 'superseded', term: 2});
+      expect(ackVerdict(result!)).toMatchObject({
+        kind: 'mayHaveRun',
+        reason: 'termChanged',
+      });
+    },
+  );
 
   test('times out while no replica can be reached', async () => {
     group.links.cut(['vm-1'], ['db-2', 'db-3']);
@@ -79,14 +82,17 @@
     });
   });
 
-  test.each(MODES)('stands one fenced replica, ack=%s', async ack => {
-    fence(['db-2'], 2);
-    expect(await time.outcome(write('w', ack), 100)).toEqual({
-      kind: 'acknowledged',
-    });
-  });
-
-  test('is as safe in a group of five', async () => {
+  test.each(MODES)(
+    'acknowledges a write despite one fenced replica, ack=%s',
+    async ack => {
+      fence(['db-2'], 2);
+      expect(await time.outcome(write('w', ack), 100)).toEqual({
+        kind: 'acknowledged',
+      });
+    },
+  );
+
+  test('waits for two replicas in a group of five', async () => {
     group = new FakeGroup(time, 5);
     tracker = new AckTracker({
       clock,
@@ -100,7 +106,7 @@
     expect(await time.outcome(result, 100)).toEqual({kind: 'acknowledged'});
   });
 
-  test('needs nobody in a group of one', async () => {
+  test('acknowledges immediately in a group of one', async () => {
     const alone = new AckTracker({clock, controls: controls.slice(0, 1)});
     const position = await group.commit('vm-1', clock, 'db-1', 'w');
     const write = {primaryId: 'db-1', position, timeoutMs: 10};
@@ -109,18 +115,18 @@
     });
   });
 
-  test('asks each replica one question for many writes', async () => {
+  test('batches the confirm requests for many writes', async () => {
     let open = 0;
-    let most = 0;
-    let questions = 0;
+    let maxOpen = 0;
+    let requests = 0;
     const counted = controls.map(control => ({
       spec: control.spec,
       status: control.status.bind(control),
       fence: control.fence.bind(control),
       promote: control.promote.bind(control),
       confirm: async (...args: Parameters<DatabaseControl['confirm']>) => {
-        questions += 1;
-        most = Math.max(most, ++open);
+        requests += 1;
+        maxOpen = Math.max(maxOpen, ++open);
         return control.confirm(...args).finally(() => (open -= 1));
       },
     }));
@@ -130,12 +136,13 @@
     );
     const results = await time.outcome(Promise.all(writes), 100);
     expect(results).toEqual(Array(100).fill({kind: 'acknowledged'}));
-    expect(most).toBe(2);
-    expect(questions).toBeLessThanOrEqual(6);
+    expect(maxOpen).toBe(2);
+    expect(requests).toBeLessThanOrEqual(6);
   });
 
-  test('counts no answer that was asked for before the commit', async () => {
-    // The first question is answered before the fence, but arrives after it.
+  test('ignores an answer to a request sent before the commit', async () => {
+    // The first request is answered before the fence, but its answer arrives
+    // after it.
     const links = ['db-2', 'db-3'].map(id => group.links.between('vm-1', id));
     for (const link of links) link.delayMs = 50;
     const first = write('w1', 'primary');
@@ -146,7 +153,7 @@
     expect(second).toEqual({kind: 'superseded', term: 2});
   });
 
-  test('settles the lower writes of a replica that lags', async () => {
+  test('acknowledges the lower writes that a lagging replica holds', async () => {
     group.links.cut(['db-1'], ['db-2', 'db-3']);
     const low = write('low', 'replica', 2_000);
     const high = write('high', 'replica', 2_000);
@@ -157,7 +164,7 @@
     expect(await time.outcome(high, 2_000)).toEqual({kind: 'timeout'});
   });
 
-  test('counts no answer that covers only an earlier write', async () => {
+  test('ignores an answer that covers only an earlier write', async () => {
     group.links.cut(['vm-1'], ['db-3']);
     group.links.between('vm-1', 'db-2').delayMs = 50;
     const first = write('w1', 'replica');
@@ -168,8 +175,8 @@
     expect(await first).toEqual({kind: 'acknowledged'});
   });
 
-  test('takes no word of a newer term for a write of an older one', async () => {
-    // The first question is lost, so that the next covers both writes.
+  test('ignores a confirmation of a newer term for a write of an older term', async () => {
+    // The first request is lost, so that the next one covers both writes.
     group.links.cut(['db-1', 'vm-1'], ['db-2', 'db-3']);
     const old = write('old', 'replica', 2_000);
     await time.advance(10);
--- a/test/groups/actions.ts
+++ b/test/groups/actions.ts
@@ -1,13 +1,13 @@
-/** What may happen in a schedule of faults. */
+/** The actions of a schedule of faults. */
 import type {AckMode} from '../../src/groups/replica-confirmer.js';
 
-/** The ends of the links: three nodes and three databases. */
+/** The endpoints of the links: three nodes and three databases. */
 export const NODE_IDS: readonly string[] = ['vm-1', 'vm-2', 'vm-3'];
 export const DATABASE_IDS: readonly string[] = ['db-1', 'db-2', 'db-3'];
 
-/** One thing that happens in a schedule. */
+/** One action of a schedule. */
 export type Action =
-  /** Cuts all links between these ends and the others, and no other link. */
+  /** Cuts the links between these endpoints and all others; mends the rest. */
   | {readonly kind: 'isolate'; readonly ends: readonly string[]}
   | {readonly kind: 'mend'}
   | {readonly kind: 'freeze'; readonly database: string}
@@ -52,7 +52,7 @@
       readonly staleMs: number;
     };
 
-/** An action after a pause. */
+/** A pause and the action that follows it. */
 export interface Step {
   readonly waitMs: number;
   readonly action: Action;
--- a/test/groups/failover-agent.test.ts
+++ b/test/groups/failover-agent.test.ts
@@ -30,7 +30,7 @@
   );
 }
 
-/** Writes once every 10 ms until one is acknowledged; the time it took. */
+/** Writes every 10 ms until a write is acknowledged; returns the time taken. */
 async function measureWriteGapMs(
   node: FakeNode,
   ack: AckMode,
@@ -53,7 +53,7 @@
 }
 
 describe('failover agent', () => {
-  test('leaves a healthy group alone', async () => {
+  test('orders no failover for a healthy group', async () => {
     await time.advance(10_000);
     expect(orderedFailovers()).toEqual([]);
     expect(nodes[0]!.monitor.current()).toMatchObject({
@@ -66,11 +66,11 @@
     ['crashes', () => group.database('db-1').crash()],
     ['freezes', () => group.database('db-1').freeze()],
     [
-      'is cut off from all',
+      'is cut off from all nodes and replicas',
       () => group.links.cut(['db-1'], [...NODES, ...DATABASES]),
     ],
     [
-      'is cut off from its replicas alone',
+      'is cut off from its replicas only',
       () => group.links.cut(['db-1'], DATABASES),
     ],
   ])('promotes a replica within 1.3 s when the primary %s', async (_, fail) => {
@@ -81,9 +81,10 @@
     expect(group.leader?.spec.id).not.toBe('db-1');
   });
 
-  test('waits no longer when no other node answers', async () => {
+  test('is not delayed if no other node answers', async () => {
     for (const node of nodes.slice(1)) node.clock.pause();
-    // Just before it is asked: found unreachable before the replicas complain.
+    // Just before its next poll, so that it is found unreachable before the
+    // replicas report its silence.
     await time.advance(190);
     group.database('db-1').crash();
     expect(await measureWriteGapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(
@@ -91,13 +92,13 @@
     );
   });
 
-  test('leaves a primary that answers late but in time', async () => {
+  test('orders no failover for a primary that answers slowly but within the timeout', async () => {
     for (const node of NODES) group.links.between(node, 'db-1').delayMs = 240;
     await time.advance(10_000);
     expect(orderedFailovers()).toEqual([]);
   });
 
-  test('leaves a primary that is away for a moment', async () => {
+  test('orders no failover for a primary that is down for 400 ms', async () => {
     group.database('db-1').crash();
     await time.advance(400);
     group.database('db-1').restart();
@@ -105,7 +106,7 @@
     expect(orderedFailovers()).toEqual([]);
   });
 
-  test('orders nothing for the flapping link of one node', async () => {
+  test('orders no failover for the flapping link of one node', async () => {
     for (let i = 0; i < 8; i++) {
       group.links.cut(['vm-1'], ['db-1']);
       await time.advance(900);
@@ -119,7 +120,7 @@
     });
   });
 
-  test('orders nothing from a node that reaches no majority', async () => {
+  test('orders no failover from nodes that reach no majority', async () => {
     group.links.cut(['vm-1'], ['db-1', 'db-2']);
     group.links.cut(['vm-2'], ['db-1', 'db-2']);
     await time.advance(5_000);
@@ -127,7 +128,7 @@
     expect(group.database('db-3').fencedTerm).toBe(1);
   });
 
-  test('orders nothing after its own process stood still', async () => {
+  test('orders no failover after its own process was paused', async () => {
     nodes[0]!.clock.pause();
     await time.advance(5_000);
     nodes[0]!.clock.resume();
@@ -135,7 +136,7 @@
     expect(orderedFailovers()).toEqual([]);
   });
 
-  test('takes an old primary back as a replica', async () => {
+  test('an old primary rejoins as a replica', async () => {
     group.database('db-1').crash();
     await time.advance(3_000);
     group.database('db-1').restart();
@@ -164,15 +165,18 @@
     },
   );
 
-  test.each(MODES)('goes on acknowledging afterwards, ack=%s', async ack => {
-    group.database('db-1').crash();
-    await time.advance(3_000);
-    const outcome = writeAt(nodes[0]!, group.leader!.spec.id, 'next', ack);
-    await time.advance(500);
-    expect(outcome.write?.result).toEqual({kind: 'acknowledged'});
-  });
+  test.each(MODES)(
+    'acknowledges writes after a failover, ack=%s',
+    async ack => {
+      group.database('db-1').crash();
+      await time.advance(3_000);
+      const outcome = writeAt(nodes[0]!, group.leader!.spec.id, 'next', ack);
+      await time.advance(500);
+      expect(outcome.write?.result).toEqual({kind: 'acknowledged'});
+    },
+  );
 
-  test('finishes what an orderer left after one fence', async () => {
+  test('completes a failover that was abandoned after fencing one replica', async () => {
     group.database('db-2').fence(2, 'vm-9/1');
     await time.advance(1_500);
     expect(orderedFailovers()).toEqual([]);
@@ -185,14 +189,17 @@
     ['the primary', ['db-1']],
     ['both replicas', ['db-2', 'db-3']],
     ['all', DATABASES],
-  ])('finishes what an orderer left after fencing %s', async (_, ids) => {
-    for (const id of ids) group.database(id).fence(2, 'vm-9/1');
-    expect(await measureWriteGapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(
-      1_500,
-    );
-  });
+  ])(
+    'completes a failover that was abandoned after fencing %s',
+    async (_, ids) => {
+      for (const id of ids) group.database(id).fence(2, 'vm-9/1');
+      expect(await measureWriteGapMs(nodes[0]!, 'replica')).toBeLessThanOrEqual(
+        1_500,
+      );
+    },
+  );
 
-  test('settles on one primary when all nodes notice at once', async () => {
+  test('all nodes agree on one primary when they detect a fault at once', async () => {
     for (const node of NODES) {
       for (const id of DATABASES) group.links.between(node, id).delayMs = 40;
     }
@@ -207,7 +214,7 @@
     }
   });
 
-  test('orders one failover for one fault, though all nodes notice', async () => {
+  test('promotes once for one fault, although all nodes detect it', async () => {
     group.links.cut(['db-1'], [...NODES, ...DATABASES]);
     await time.advance(3_000);
     group.links.mend(['db-1'], [...NODES, ...DATABASES]);
@@ -215,7 +222,7 @@
     expect(group.leader?.term).toBe(2);
   });
 
-  test('orders nothing while it is held', async () => {
+  test('orders no failover while it is held', async () => {
     for (const {agent} of nodes) agent.hold();
     group.database('db-1').crash();
     await time.advance(3_000);
@@ -225,7 +232,7 @@
     expect(group.leader).toMatchObject({term: 2});
   });
 
-  test('names each attempt anew', () => {
+  test('gives each attempt a new orderer id', () => {
     const names = nodes.flatMap(({agent}) => [
       agent.nextOrderer(),
       agent.nextOrderer(),
@@ -233,7 +240,7 @@
     expect(new Set(names).size).toBe(6);
   });
 
-  test('depends on no module of the store', () => {
+  test('imports no module of the store', () => {
     for (const file of readdirSync('src/groups')) {
       const text = readFileSync(`src/groups/${file}`, 'utf8');
       expect(text).not.toMatch(/platform\/store/);
--- a/test/groups/failover-need.test.ts
+++ b/test/groups/failover-need.test.ts
@@ -47,7 +47,7 @@
   test.each([
     ['a healthy group', view({}, {}, {}), 'healthy'],
     [
-      'a primary away for 500 ms',
+      'a primary unreachable for 500 ms',
       view({unreachableMs: 500}, {}, {}),
       'healthy',
     ],
@@ -57,17 +57,13 @@
       view({}, {unreachableMs: 1}, {ageMs: 900}),
       'noMajority',
     ],
+    ['no status yet', view({unknown: true}, {unknown: true}, {}), 'noMajority'],
     [
-      'nothing known yet',
-      view({unknown: true}, {unknown: true}, {}),
-      'noMajority',
-    ],
-    [
-      'an unknown primary that replicas hear',
+      'an unknown primary that replicas receive from',
       view({unknown: true}, {}, {}),
       'healthy',
     ],
-  ])('finds nothing to order: %s', (_, given, kind) => {
+  ])('suspects nothing: %s', (_, given, kind) => {
     expect(suspect(given).kind).toBe(kind);
   });
 
@@ -86,7 +82,7 @@
   });
 });
 
-describe('assessNeed', () => {
+describe('assessFailoverNeed', () => {
   test.each([
     ['two others fail too', [false, false], 'needed'],
     ['one of two others fails too', [false, true], 'needed'],
@@ -95,14 +91,14 @@
     ['no other answers', [], 'linkFault'],
     ['two of four others fail too', [false, false, true, true], 'needed'],
     ['one of four others fails too', [false, true, true, true], 'linkFault'],
-  ])('when %s', async (_, answers, kind) => {
+  ])('if %s', async (_, answers, kind) => {
     const evidence = {canReach: () => Promise.resolve(answers)};
     expect((await assessFailoverNeed(UNREACHABLE_PRIMARY, evidence)).kind).toBe(
       kind,
     );
   });
 
-  test('takes a failed question for no answer', async () => {
+  test('treats a failed query like no answer', async () => {
     const evidence = {canReach: () => Promise.reject(new Error('no peers'))};
     expect(await assessFailoverNeed(UNREACHABLE_PRIMARY, evidence)).toEqual({
       kind: 'linkFault',
@@ -110,8 +106,8 @@
     });
   });
 
-  test('asks nobody about what the databases say themselves', async () => {
-    const evidence = {canReach: () => Promise.reject(new Error('asked'))};
+  test('queries no other node if the databases report the fault themselves', async () => {
+    const evidence = {canReach: () => Promise.reject(new Error('queried'))};
     const silent = {upstreamSilentMs: 900};
     expect(
       await assessFailoverNeed(view({}, silent, silent), evidence),
--- a/test/groups/failover.test.ts
+++ b/test/groups/failover.test.ts
@@ -28,7 +28,7 @@
   return time.outcome(promise, ms);
 }
 
-/** Expects an order to end like this, by now or in three seconds. */
+/** Expects the failover to settle within 3 s, with a matching result. */
 async function expectOutcome(
   result: ReturnType<typeof orderFailover>,
   expected: object,
@@ -36,7 +36,7 @@
   expect(await settled(result)).toMatchObject(expected);
 }
 
-/** Runs `fault` at each promotion that is ordered. */
+/** Runs `fault` whenever a promotion is ordered. */
 function onPromotion(fault: (databaseId: string) => void) {
   group.onOrder = (_, kind, databaseId) => {
     if (kind === 'promote') fault(databaseId);
@@ -64,7 +64,7 @@
     expect(group.database('db-2').visibleWrites()).toContain('w');
   });
 
-  test('passes over an isolated primary that holds more', async () => {
+  test('does not promote an isolated primary, although its log is longest', async () => {
     group.links.cut(['db-1'], ['db-2', 'db-3']);
     group.database('db-1').commit('unacknowledged');
     await expectOutcome(order(1, 1, 'db-1'), {
@@ -73,7 +73,7 @@
     });
   });
 
-  test('takes the suspect when there is no majority without it', async () => {
+  test('promotes the suspected primary if there is no majority without it', async () => {
     group.database('db-3').crash();
     await expectOutcome(order(1, 1, 'db-1'), {
       kind: 'promoted',
@@ -81,7 +81,7 @@
     });
   });
 
-  test('prefers by rank among equals', async () => {
+  test('prefers the highest rank among equally advanced databases', async () => {
     const clock = clocks[0]!;
     const controls = group.controlsFor('vm-1', clock);
     const result = orderFailover({
@@ -100,7 +100,7 @@
     expect(group.database('db-3').fencedTerm).toBe(1);
   });
 
-  test('gives way when the group is past the term that was seen', async () => {
+  test('is outbid if the group has passed the term that was seen', async () => {
     const clock = clocks[0]!;
     const controls = group.controlsFor('vm-1', clock);
     const seen = {clock, controls, orderer: 'vm-1/1', seenTerm: 1};
@@ -111,7 +111,7 @@
     await expectOutcome(orderFailover(now), {term: 3});
   });
 
-  test('lets one of two orderers at once have the term', async () => {
+  test('grants the term to one of two concurrent orderers', async () => {
     const results = await settled(Promise.all([order(1, 1), order(2, 1)]));
     expect(results!.map(({kind}) => kind).sort()).toEqual([
       'outbid',
@@ -120,13 +120,13 @@
     expectOnePrimaryPerTerm();
   });
 
-  test('is followed at a higher term after orderers split the votes', async () => {
+  test('succeeds at a higher term after a split vote', async () => {
     group.database('db-2').fence(2, 'vm-8/1');
     group.database('db-3').fence(2, 'vm-9/1');
     await expectOutcome(order(1, 1), {kind: 'promoted', term: 3});
   });
 
-  test('promotes no second database after an unanswered promotion', async () => {
+  test('promotes no other database after an unanswered promotion', async () => {
     group.database('db-1').crash();
     group.links.cut(['db-2'], ['db-3']);
     onPromotion(id => (group.links.between('vm-1', id).answersToLose = 100));
@@ -141,7 +141,7 @@
     expectOnePrimaryPerTerm();
   });
 
-  test('promotes nothing when another has the majority of its term', async () => {
+  test('promotes nothing if another orderer has a majority at its term', async () => {
     group.onOrder = (_, kind) => {
       group.onOrder = () => {};
       if (kind !== 'fence') return;
@@ -152,12 +152,12 @@
     expect(group.leader).toBeUndefined();
   });
 
-  test('gives way when it is outbid before its promotion', async () => {
+  test('is outbid if a higher term is fenced before its promotion', async () => {
     onPromotion(id => group.database(id).fence(3, 'vm-9/1'));
     await expectOutcome(order(1, 1), {kind: 'outbid', step: 'promote'});
   });
 
-  test('reports no promotion that was superseded at once', async () => {
+  test('does not report a promotion that was superseded immediately', async () => {
     onPromotion(id => {
       group.links.between('vm-1', id).delayMs = 50;
       time.schedule(70, () => group.database(id).fence(3, 'vm-9/1'));
@@ -165,7 +165,7 @@
     await expectOutcome(order(1, 1), {kind: 'failed', step: 'verify'});
   });
 
-  test('succeeds when the answer to its promotion is lost', async () => {
+  test('succeeds if the answer to its promotion is lost', async () => {
     onPromotion(id => {
       group.links.between('vm-1', id).answersToLose = 1;
       group.onOrder = () => {};
@@ -174,7 +174,7 @@
     expectOnePrimaryPerTerm();
   });
 
-  test('is not disturbed by orders that arrive twice', async () => {
+  test('is not affected by duplicated orders', async () => {
     for (const id of DATABASES) {
       group.links.between('vm-1', id).duplicateAfterMs = 700;
     }
@@ -190,7 +190,7 @@
     ['promote', 'db-2'] as const,
   ];
 
-  /** Runs `fault` when vm-1 orders this step of this database. */
+  /** Runs `fault` when vm-1 sends this order to this database. */
   function onStep(step: string, databaseId: string, fault: () => void) {
     group.onOrder = (nodeId, kind, id) => {
       if (nodeId === 'vm-1' && kind === step && id === databaseId) fault();
@@ -198,7 +198,7 @@
   }
 
   test.each(steps)(
-    'is followed by another when its orderer freezes at %s of %s',
+    'a second failover succeeds after the first orderer freezes at %s of %s',
     async (step, databaseId) => {
       onStep(step, databaseId, () => clocks[0]!.pause());
       const frozen = order(1, 1, 'db-1');
@@ -216,7 +216,7 @@
   );
 
   test.each(steps)(
-    'is followed by another when its orderer dies at %s of %s',
+    'a second failover succeeds after the first orderer is cut off at %s of %s',
     async (step, databaseId) => {
       onStep(step, databaseId, () => group.links.cut(['vm-1'], DATABASES));
       void order(1, 1, 'db-1');
--- a/test/groups/fake-node.ts
+++ b/test/groups/fake-node.ts
@@ -1,4 +1,4 @@
-/** One node of the system over a fake group. */
+/** One proxy node connected to a fake database group. */
 import {AckTracker, type AckResult} from '../../src/groups/acknowledgement.js';
 import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import type {EvidencePort} from '../../src/groups/evidence.js';
@@ -14,10 +14,10 @@
 import type {FakeGroup} from '../fakes/fake-group.js';
 import type {NodeClock, VirtualClock} from '../fakes/virtual-clock.js';
 
-/** How long the proxies wait for an acknowledgement in these tests. */
+/** How long a node waits for an acknowledgement in these tests. */
 const ACK_TIMEOUT_MS = 1_000;
 
-/** A write that a primary took, and what became of it. */
+/** A committed write and the outcome of its acknowledgement. */
 export interface FakeWrite {
   readonly id: string;
   readonly databaseId: string;
@@ -26,7 +26,7 @@
   readonly result: AckResult;
 }
 
-/** A node with a monitor, a failover agent, a tracker and a read router. */
+/** A node with a group monitor, failover agent, ack tracker and read router. */
 export class FakeNode {
   readonly id: string;
   readonly clock: NodeClock;
@@ -90,13 +90,14 @@
     return !link.cut && database.up && !database.frozen;
   }
 
-  /** Writes at the primary that this node knows; undefined if none took it. */
+  /** Writes to the primary that this node knows; undefined if it failed. */
   async write(id: string, ack: AckMode): Promise<FakeWrite | undefined> {
     const databaseId = this.monitor.current().primaryId;
     if (databaseId === undefined) return undefined;
     return this.writeAt(databaseId, id, ack);
   }
 
+  /** Writes to one database; undefined if the write failed. */
   async writeAt(
     databaseId: string,
     id: string,
@@ -122,7 +123,7 @@
     return {id, databaseId, position, committedAt, result};
   }
 
-  /** Reads as a session that needs `needed`; undefined if refused. */
+  /** Reads at a position that covers `needed`; undefined if refused. */
   async read(sessionId: string, needed: Position | undefined, staleMs: number) {
     const choice = this.router.choose({
       sessionId,
@@ -159,7 +160,7 @@
   };
 }
 
-/** Starts nodes over one group. */
+/** Starts nodes connected to one group. */
 export function startNodes(
   group: FakeGroup,
   time: VirtualClock,
--- a/test/groups/monitor.test.ts
+++ b/test/groups/monitor.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('group monitor', () => {
-  test('knows role, term and positions of each database', () => {
+  test('reports role, term and positions of each database', () => {
     expect(monitor.current()).toMatchObject({term: 1, primaryId: 'db-1'});
     expect(view('db-2').status).toMatchObject({
       role: 'replica',
@@ -35,7 +35,7 @@
     expect(view('db-2').ageMs).toBeLessThanOrEqual(200);
   });
 
-  test('tells for how long a database has not answered', async () => {
+  test('reports for how long a database has not answered', async () => {
     group.links.cut(['vm-1'], ['db-1']);
     await time.advance(1_000);
     expect(view('db-1').reachable).toBe(false);
@@ -47,7 +47,7 @@
     expect(view('db-1').unreachableMs).toBe(0);
   });
 
-  test('blames no database for its own standstill', async () => {
+  test('reports no database as unreachable after its own process was paused', async () => {
     group.links.between('vm-1', 'db-1').delayMs = 100;
     await time.advance(250);
     clock.pause();
@@ -58,7 +58,7 @@
     expect(view('db-1').unreachableMs).toBe(0);
   });
 
-  test('keeps the newer of two answers that cross', async () => {
+  test('keeps the status of the later request if answers arrive out of order', async () => {
     const link = group.links.between('vm-1', 'db-2');
     link.delayMs = 150;
     await time.advance(250);
@@ -84,7 +84,7 @@
     stop();
   });
 
-  test('refreshes without waiting for a database that hangs', async () => {
+  test('refreshes without waiting for a frozen database', async () => {
     group.database('db-3').freeze();
     let refreshed = false;
     void monitor.refreshNow(100).then(() => (refreshed = true));
--- a/test/groups/planned-switch.test.ts
+++ b/test/groups/planned-switch.test.ts
@@ -58,11 +58,11 @@
   return time.outcome(promise, ms);
 }
 
-async function expectSwitch(targetDatabaseId: string, expected: object) {
+async function expectSwitchResult(targetDatabaseId: string, expected: object) {
   expect(await settled(switchTo(targetDatabaseId))).toMatchObject(expected);
 }
 
-/** The result of a switch that changed nothing for this reason. */
+/** The expected result of a switch that changed nothing, with its reason. */
 function notStarted(reason: string) {
   return {
     kind: 'notStarted',
@@ -71,7 +71,7 @@
 }
 
 describe('switchPrimary', () => {
-  test('makes the target primary and holds writes for a moment', async () => {
+  test('makes the target primary and holds writes for at most 100 ms', async () => {
     await settled(nodes[1]!.write('before', 'replica'), 100);
     expect(await settled(switchTo('db-3'))).toEqual({
       kind: 'switched',
@@ -84,7 +84,7 @@
     expect(nodes.flatMap(({events}) => events)).toEqual([]);
   });
 
-  test('loses no write that others send meanwhile', async () => {
+  test('loses no write that other nodes send during the switch', async () => {
     const writes: FakeWrite[] = [];
     const send = async (id: string) => {
       const write = await nodes[1]!.write(id, 'replica');
@@ -105,34 +105,34 @@
     }
   });
 
-  test('changes nothing when the target can not catch up', async () => {
+  test('changes nothing if the target can not catch up', async () => {
     group.links.cut(['db-3'], ['db-1', 'db-2']);
     group.database('db-1').commit('w');
-    await expectSwitch('db-3', notStarted('did not reach'));
+    await expectSwitchResult('db-3', notStarted('did not reach'));
     expect(group.leader?.spec.id).toBe('db-1');
     expect(hold.held).toBe(false);
   });
 
-  test('changes nothing when the target falls behind under the hold', async () => {
+  test('changes nothing if the target falls behind while writes are held', async () => {
     hold.onHold = () => {
       group.links.cut(['db-3'], ['db-1', 'db-2']);
       group.database('db-1').commit('last');
     };
-    await expectSwitch('db-3', notStarted('did not reach'));
+    await expectSwitchResult('db-3', notStarted('did not reach'));
     expect(group.leader).toMatchObject({term: 1});
     expect(hold.heldMs).toBeLessThanOrEqual(600);
   });
 
-  test('waits for the fence of a primary that answers late', async () => {
+  test('waits until a slow primary is fenced', async () => {
     group.links.between('vm-1', 'db-1').delayMs = 40;
-    await expectSwitch('db-3', {kind: 'switched'});
+    await expectSwitchResult('db-3', {kind: 'switched'});
   });
 
-  test('falls back when the old primary can not be fenced', async () => {
+  test('falls back to a failover if the old primary can not be fenced', async () => {
     group.onOrder = (_, kind) => {
       if (kind === 'fence') group.links.cut(['vm-1'], ['db-1']);
     };
-    await expectSwitch('db-3', {
+    await expectSwitchResult('db-3', {
       kind: 'fellBack',
       reason: 'db-1 could not be fenced',
       failover: {kind: 'promoted'},
@@ -143,31 +143,31 @@
     ['db-1', 'leads already'],
     ['db-9', 'has no database'],
   ])('refuses a switch to %s', async (id, reason) => {
-    await expectSwitch(id, notStarted(reason));
+    await expectSwitchResult(id, notStarted(reason));
   });
 
-  test('falls back when a write slipped in that the target lacks', async () => {
+  test('falls back to a failover if the target lacks a late write', async () => {
     group.onOrder = (_, kind) => {
       if (kind !== 'fence') return;
       group.onOrder = () => {};
-      group.database('db-1').commit('slipped in');
+      group.database('db-1').commit('late');
     };
-    await expectSwitch('db-3', {
+    await expectSwitchResult('db-3', {
       kind: 'fellBack',
       failover: {kind: 'promoted', databaseId: 'db-1'},
     });
     await time.advance(1_000);
-    expect(group.leader?.visibleWrites()).toContain('slipped in');
+    expect(group.leader?.visibleWrites()).toContain('late');
     expect(hold.held).toBe(false);
   });
 
-  test('falls back when the target fails during the switch', async () => {
+  test('falls back to a failover if the target fails during the switch', async () => {
     group.onOrder = (_, kind, databaseId) => {
       if (kind === 'promote' && databaseId === 'db-3') {
         group.database('db-3').crash();
       }
     };
-    await expectSwitch('db-3', {
+    await expectSwitchResult('db-3', {
       kind: 'fellBack',
       failover: {kind: 'promoted'},
     });
@@ -175,7 +175,7 @@
     expect(hold.held).toBe(false);
   });
 
-  test('leaves it to the others when its own process stops', async () => {
+  test('other nodes complete a switch whose node stops', async () => {
     group.onOrder = (nodeId, kind) => {
       if (nodeId === 'vm-1' && kind === 'promote') nodes[0]!.clock.pause();
     };
--- a/test/groups/schedule.test.ts
+++ b/test/groups/schedule.test.ts
@@ -25,7 +25,7 @@
   {
     weight: 4,
     arbitrary: action('isolate', {
-      // Mostly one database, perhaps with nodes on its side.
+      // Mostly one database, possibly with other endpoints on its side.
       ends: fc
         .tuple(database, fc.subarray([...NODE_IDS, ...DATABASE_IDS]))
         .map(([id, others]) => [...new Set([id, ...others.slice(0, 2)])]),
@@ -61,7 +61,7 @@
 );
 
 test(
-  'keeps its promises under any schedule of faults',
+  'keeps its guarantees under any schedule of faults',
   {timeout: 120_000},
   async () => {
     let promotions = 0;
@@ -82,7 +82,7 @@
     if (process.env['ZINNIA_TEST_SEED'] !== undefined) {
       console.info({SEED, SCHEDULES, promotions, acknowledged, replicaReads});
     }
-    // Schedules that exercise nothing would prove nothing.
+    // Ensures that the schedules exercise promotions, writes and replica reads.
     expect(promotions).toBeGreaterThan(SCHEDULES / 4);
     expect(acknowledged).toBeGreaterThan(SCHEDULES);
     expect(replicaReads).toBeGreaterThan(SCHEDULES / 4);
--- a/test/groups/schedule.ts
+++ b/test/groups/schedule.ts
@@ -1,4 +1,4 @@
-/** Runs schedules of faults against nodes over a fake group. */
+/** Runs schedules of faults against nodes connected to a fake group. */
 import type {AckResult} from '../../src/groups/acknowledgement.js';
 import type {AckMode} from '../../src/groups/replica-confirmer.js';
 import {laterPosition, START_POSITION} from '../../src/session/position.js';
@@ -8,8 +8,11 @@
 import {DATABASE_IDS, NODE_IDS, type Action, type Step} from './actions.js';
 import {startNodes, type FakeNode, type FakeWrite} from './fake-node.js';
 
+/** What a session must be able to read. */
 interface Session {
+  /** Position that its reads must cover. */
   needed: Position;
+  /** Ids of its writes acknowledged with ack=replica. */
   readonly acknowledged: string[];
 }
 
@@ -17,28 +20,28 @@
 
 const RECOVERY_MS = 15_000;
 
-/** A schedule under way, and what it found wrong. */
+/** A run of one schedule, with the violations that it found. */
 export class ScheduleRun {
   readonly time = new VirtualClock(1);
   readonly group = new FakeGroup(this.time);
   readonly nodes: readonly FakeNode[];
   readonly writes: FakeWrite[] = [];
-  readonly faults: string[] = [];
-  /** What became of each write, by its id: w1, w2 and so on. */
+  readonly violations: string[] = [];
+  /** The outcome of each write, by its id: w1, w2 and so on. */
   readonly outcomes: Record<string, AckResult['kind'] | 'refused'> = {};
-  /** Where each read ran, in the order of the answers. */
+  /** Where each read ran, in the order in which they ended. */
   readonly reads: ('replica' | 'primary' | 'refused')[] = [];
   readonly #sessions = new Map<string, Session>();
-  /** Acknowledged with ack=primary, so that a failover may lose them. */
-  readonly #primaryOnly = new Set<string>();
-  #ids = 0;
-  #retries = 0;
+  /** Ids of writes acknowledged with ack=primary; a failover may lose them. */
+  readonly #primaryAcked = new Set<string>();
+  #writeCount = 0;
+  #recoveryWriteCount = 0;
 
   constructor(seed: number) {
     this.nodes = startNodes(this.group, this.time, NODE_IDS.length, seed);
   }
 
-  /** Runs the steps, mends everything and checks what must hold. */
+  /** Runs the steps, repairs all faults and returns the violations found. */
   async run(steps: readonly Step[]): Promise<readonly string[]> {
     await this.time.advance(500);
     for (const {waitMs, action} of steps) {
@@ -50,7 +53,7 @@
     this.#checkPrimaries();
     this.#checkWrites();
     for (const node of this.nodes) node.stop();
-    return this.faults;
+    return this.violations;
   }
 
   #act(action: Action): void {
@@ -121,8 +124,8 @@
 
   async #write(node: FakeNode, sessionId: string, ack: AckMode) {
     if (node.clock.paused) return;
-    this.#ids += 1;
-    const id = `w${this.#ids}`;
+    this.#writeCount += 1;
+    const id = `w${this.#writeCount}`;
     const write = await node.write(id, ack);
     this.outcomes[id] = write?.result.kind ?? 'refused';
     if (write === undefined) return;
@@ -131,7 +134,7 @@
     const session = this.#session(sessionId);
     session.needed = laterPosition(session.needed, write.position);
     if (ack === 'replica') session.acknowledged.push(write.id);
-    else this.#primaryOnly.add(write.id);
+    else this.#primaryAcked.add(write.id);
   }
 
   async #read(node: FakeNode, sessionId: string, staleMs: number) {
@@ -143,7 +146,7 @@
     if (read === undefined) return;
     for (const id of expected) {
       if (read.writes.has(id)) continue;
-      this.faults.push(`a read at ${read.databaseId} missed ${id}`);
+      this.violations.push(`a read at ${read.databaseId} missed ${id}`);
     }
   }
 
@@ -156,8 +159,8 @@
     for (const {clock} of this.nodes) if (clock.paused) clock.resume();
     let recovered = false;
     const tryOnce = async (node: FakeNode) => {
-      this.#retries += 1;
-      const write = await node.write(`r${this.#retries}`, 'replica');
+      this.#recoveryWriteCount += 1;
+      const write = await node.write(`r${this.#recoveryWriteCount}`, 'replica');
       if (write === undefined) return;
       this.writes.push(write);
       recovered ||= write.result.kind === 'acknowledged';
@@ -167,7 +170,7 @@
       void tryOnce(this.nodes[0]!);
       await this.time.advance(250);
     }
-    if (!recovered) this.faults.push('the group did not recover');
+    if (!recovered) this.violations.push('the group did not recover');
     await this.time.advance(1_500);
   }
 
@@ -177,7 +180,7 @@
       for (const {term} of promotions) {
         const other = leaders.get(term);
         if (other !== undefined) {
-          this.faults.push(`${other} and ${spec.id} both led term ${term}`);
+          this.violations.push(`${other} and ${spec.id} both led term ${term}`);
         }
         leaders.set(term, spec.id);
       }
@@ -191,14 +194,14 @@
     );
     for (const {id, position, committedAt, result} of this.writes) {
       if (result.kind !== 'acknowledged') continue;
-      if (!kept.has(id) && !this.#primaryOnly.has(id)) {
-        this.faults.push(`acknowledged ${id} was lost`);
+      if (!kept.has(id) && !this.#primaryAcked.has(id)) {
+        this.violations.push(`acknowledged ${id} was lost`);
       }
       const newer = promotions.find(
         ({term, at}) => term > position.term && at < committedAt,
       );
       if (newer === undefined) continue;
-      this.faults.push(
+      this.violations.push(
         `${id} of term ${position.term} was acknowledged though it was ` +
           `committed after the promotion of term ${newer.term}`,
       );
--- a/test/groups/traces.test.ts
+++ b/test/groups/traces.test.ts
@@ -5,11 +5,12 @@
 
 const TRACES_PATH = 'test/traces';
 
+/** A recorded schedule with its expected outcome. */
 interface Trace {
   readonly description: string;
   readonly seed: number;
   readonly steps: readonly Step[];
-  /** Stated by hand: what the promises require at this seed. */
+  /** Written by hand: what the guarantees require at this seed. */
   readonly expected: {
     readonly writes: Readonly<Record<string, string>>;
     readonly reads: readonly string[];
--- a/test/routing/classify.test.ts
+++ b/test/routing/classify.test.ts
@@ -88,7 +88,7 @@
   'delete from t; listen c',
 ];
 
-const OTHERS: readonly (readonly [string, Statement])[] = [
+const OTHER_STATEMENTS: readonly (readonly [string, Statement])[] = [
   ['', {kind: 'empty'}],
   [' ; -- nothing', {kind: 'empty'}],
   ['begin', {kind: 'begin', readOnly: false}],
@@ -122,26 +122,26 @@
 ];
 
 describe('classify', () => {
-  test.each(READS)('reads: %s', async sql => {
+  test.each(READS)('classifies as read: %s', async sql => {
     expect(await strictest(sql)).toEqual({kind: 'read'});
   });
 
-  test.each(WRITES)('writes: %s', async sql => {
+  test.each(WRITES)('classifies as write: %s', async sql => {
     expect(await strictest(sql)).toEqual({kind: 'write'});
   });
 
-  test.each(UNSUPPORTED)('does not support: %s', async sql => {
+  test.each(UNSUPPORTED)('classifies as unsupported: %s', async sql => {
     expect(await strictest(sql)).toMatchObject({
       kind: 'unsupported',
       message: expect.stringMatching(/not supported|of its own/) as string,
     });
   });
 
-  test.each(OTHERS)('classifies: %s', async (sql, expected) => {
+  test.each(OTHER_STATEMENTS)('classifies: %s', async (sql, expected) => {
     expect(await strictest(sql)).toEqual(expected);
   });
 
-  test('lists the statements in order and binds by the strictest', async () => {
+  test('lists the statements in order and returns the strictest', async () => {
     const {statements, strictest} = await classifier.classify(
       'begin; select 1; commit',
     );
@@ -153,7 +153,7 @@
     expect(strictest.kind).toBe('begin');
   });
 
-  test('passes on the message and place of a syntax error', async () => {
+  test('returns the message and position of a syntax error', async () => {
     expect(await strictest('select from where')).toEqual({
       kind: 'invalid',
       sqlstate: '42601',
@@ -162,13 +162,13 @@
     });
   });
 
-  test('refuses a text with a NUL, which would hide what follows', async () => {
+  test('rejects a text with a NUL, which would hide the rest from the parser', async () => {
     expect(await strictest('select 1\0; delete from t')).toMatchObject({
       kind: 'invalid',
     });
   });
 
-  test('refuses what is nested too deeply and goes on working', async () => {
+  test('rejects statements that are nested too deeply and keeps working', async () => {
     const sum = Array(20_000).fill('1').join('+');
     expect((await strictest(`select ${sum}`)).kind).toBe('invalid');
     const brackets = `${'('.repeat(20_000)}1${')'.repeat(20_000)}`;
@@ -176,7 +176,7 @@
     expect((await strictest('select 1')).kind).toBe('read');
   });
 
-  test('never takes a text with a data change for a read', async () => {
+  test('never classifies a text with a data change as a read', async () => {
     const changes = fc.constantFrom<string>(
       'insert into t values (1)',
       'update t set x = 2 where y = 3',
--- a/test/routing/nearby-reader.test.ts
+++ b/test/routing/nearby-reader.test.ts
@@ -8,7 +8,7 @@
 
 const DATA_CENTRES = ['hobart', 'launceston', 'devonport', 'burnie'];
 const REPLICA_DATA_CENTRES = ['launceston', 'devonport'];
-/** Of ten statements as the recorded calm days have them. */
+/** Reads per ten statements, from recordings of calm days. */
 const READS_PER_TEN = 8;
 
 const members: readonly FleetMember[] = DATA_CENTRES.flatMap(dataCentre =>
@@ -36,41 +36,43 @@
   ...rest,
 });
 
-describe('the reader nearby', () => {
-  it('is a node of the data centre, the same one for every entry there', () => {
+describe('chooseNearbyReader', () => {
+  it('returns a node of the data centre, the same one for every entry there', () => {
     const reader = chooseNearbyReader(input());
     expect(reader?.dataCentre).toBe('launceston');
     expect(chooseNearbyReader(input())).toBe(reader);
   });
 
-  it('is not asked for what only the primary may serve', () => {
+  it('returns no reader if only the primary may serve the statement', () => {
     expect(chooseNearbyReader(input({isRead: false}))).toBeUndefined();
     expect(chooseNearbyReader(input({consistency: 'primary'}))).toBeUndefined();
   });
 
-  it('is not asked where the home is as near, or no replica is', () => {
+  it('returns no reader if the home is as near or there is no replica', () => {
     const atHome = {dataCentre: 'hobart', readers: members};
     expect(chooseNearbyReader(input(atHome))).toBeUndefined();
     expect(chooseNearbyReader(input({hasReplica: false}))).toBeUndefined();
     expect(chooseNearbyReader(input({home: undefined}))).toBeUndefined();
   });
 
-  it('is none where the data centre has no node fit for the work', () => {
-    const small = members.map(one =>
-      one.dataCentre === 'launceston' ? {...one, cores: 0.2} : one,
+  it('returns no reader if no node of the data centre has enough cores', () => {
+    const small = members.map(member =>
+      member.dataCentre === 'launceston' ? {...member, cores: 0.2} : member,
     );
     const readers = rankHomes('claims', small, 'launceston');
     expect(chooseNearbyReader(input({readers}))).toBeUndefined();
   });
 
-  it('halves the answers that cross between data centres', () => {
+  it('at least halves the answers that cross between data centres', () => {
     let crossingsBefore = 0;
     let crossings = 0;
     for (const [n, place] of DATA_CENTRES.entries()) {
       for (let statement = 0; statement < 1_000; statement++) {
         const isRead = statement % 10 < READS_PER_TEN;
-        // The home spreads the reads over the group's databases in turn.
-        const spread = ['hobart', ...REPLICA_DATA_CENTRES][(statement + n) % 3]!;
+        // The home distributes the reads over the group's databases in turn.
+        const spread = ['hobart', ...REPLICA_DATA_CENTRES][
+          (statement + n) % 3
+        ]!;
         const toHome = place === 'hobart' ? 0 : 1;
         const byHome = toHome + (isRead && spread !== 'hobart' ? 1 : 0);
         crossingsBefore += byHome;
--- a/test/routing/read-router.test.ts
+++ b/test/routing/read-router.test.ts
@@ -39,22 +39,22 @@
 const AT_PRIMARY = {kind: 'primary', databaseId: 'db-1'};
 const none = (reason: string) => ({kind: 'none', reason});
 
-describe('read router', () => {
-  test('reads on a replica that the monitor knows to be current', () => {
+describe('ReadRouter', () => {
+  test('reads from a replica that the monitor reports as current', () => {
     expect(choose({term: 1, offset: 1})).toEqual({
       kind: 'replica',
       databaseId: 'db-2',
     });
   });
 
-  test('reads at the primary until a replica holds the write', async () => {
+  test('reads from the primary until a replica has applied the write', async () => {
     const write = group.database('db-1').commit('w');
     expect(choose(write)).toEqual(AT_PRIMARY);
     await time.advance(400);
     expect(choose(write)).toMatchObject({kind: 'replica'});
   });
 
-  test('learns positions from what runs, ahead of the monitor', () => {
+  test('uses positions of requests before the monitor reports them', () => {
     const sentAt = time.now() + 9_000;
     const write = group.database('db-1').commit('w');
     router.notePosition('db-1', write, sentAt);
@@ -62,7 +62,7 @@
     expect(choose(write)).toMatchObject({kind: 'replica'});
   });
 
-  test('waits for a replica that usually follows soon', async () => {
+  test('waits for a replica that usually catches up soon', async () => {
     for (let i = 0; i < 5; i++) {
       const sentAt = time.now() + 9_000;
       router.notePosition('db-1', group.database('db-1').commit('w'), sentAt);
@@ -76,12 +76,12 @@
     expect(choose(write, 2_000, 0)).toMatchObject({kind: 'primary'});
   });
 
-  test('sends no session that saw a newer term to an old primary', () => {
+  test('sends no session that has seen a newer term to an old primary', () => {
     expect(choose({term: 2, offset: 2})).toEqual(none('staleReplicas'));
     expect(choose({term: 2, offset: 2}, 0)).toEqual(none('noPrimary'));
   });
 
-  test('reads no data older than the limit, once cut off', async () => {
+  test('does not choose a replica cut off for longer than the limit', async () => {
     group.links.cut(['db-2', 'vm-1'], ['db-1', 'db-3']);
     await time.advance(1_500);
     expect(choose({term: 1, offset: 1})).toMatchObject({kind: 'replica'});
@@ -103,7 +103,7 @@
     expect(isReadCurrent(ran, needed)).toBe(current);
   });
 
-  test('asks for nothing when the session needs nothing', () => {
+  test('is true if the session needs no position', () => {
     expect(isReadCurrent(undefined, undefined)).toBe(true);
   });
 });
--- a/test/routing/replica-ages.test.ts
+++ b/test/routing/replica-ages.test.ts
@@ -4,7 +4,7 @@
 
 const at = (offset: number, term = 1) => ({term, offset});
 
-/** A group of three whose primary writes an offset a millisecond. */
+/** Records a group of three whose primary writes one entry per millisecond. */
 function recordHealthyGroup(ages: ReplicaAges, fromMs: number, toMs: number) {
   for (let now = fromMs; now <= toMs; now += 200) {
     ages.recordPrimary(1, at(now), now);
@@ -13,8 +13,8 @@
   }
 }
 
-describe('replica ages', () => {
-  test('a replica is as old as the time since the primary was there', () => {
+describe('ReplicaAges', () => {
+  test('the age is the time since the last sample that the replica covers', () => {
     const ages = new ReplicaAges(3);
     recordHealthyGroup(ages, 0, 1000);
     ages.recordReplica('db-2', at(650), 1000);
@@ -22,7 +22,7 @@
     expect(ages.ageMs('db-2', 1100)).toBe(500);
   });
 
-  test('a replica of which nothing is known has no bounded age', () => {
+  test('the age of a replica without a usable sample is not bounded', () => {
     const ages = new ReplicaAges(3);
     expect(ages.ageMs('db-2', 0)).toBe(Infinity);
     recordHealthyGroup(ages, 400, 1000);
@@ -30,7 +30,7 @@
     expect(ages.ageMs('db-2', 1000)).toBe(Infinity);
   });
 
-  test('a primary that no majority follows makes no replica young', () => {
+  test('samples without an unfenced majority do not lower the age', () => {
     const ages = new ReplicaAges(3);
     recordHealthyGroup(ages, 0, 400);
     ages.recordReplica('db-2', at(400), 400);
@@ -41,7 +41,7 @@
     expect(ages.ageMs('db-2', 5000)).toBe(4600);
   });
 
-  test('samples of an older term are left out', () => {
+  test('samples of an older term are ignored', () => {
     const ages = new ReplicaAges(3);
     recordHealthyGroup(ages, 0, 400);
     ages.recordPrimary(2, at(401, 2), 600);
@@ -55,7 +55,7 @@
     expect(ages.ageMs('db-3', 800)).toBe(200);
   });
 
-  test('expects a replica after its usual lag', () => {
+  test('expects a replica to catch up after its last lag', () => {
     const ages = new ReplicaAges(3);
     recordHealthyGroup(ages, 0, 1000);
     ages.recordReplica('db-2', at(800), 830);
@@ -66,14 +66,14 @@
     expect(ages.expectedWaitMs('db-3', at(700), 1025)).toBe(Infinity);
   });
 
-  test('never reports less than the true age, with few samples kept', () => {
+  test('never reports less than the true age, with few samples', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.nat(50), fc.nat(20)), {maxLength: 60}),
         fc.nat(1000),
         (steps, applied) => {
           const ages = new ReplicaAges(3, 8);
-          const reached: {offset: number; at: number}[] = [];
+          const writeLog: {offset: number; at: number}[] = [];
           let now = 0;
           let offset = 0;
           for (const [pauseMs, writes] of steps) {
@@ -81,12 +81,12 @@
             ages.recordPrimary(1, at(offset), now);
             ages.recordFence('db-1', 1, now);
             ages.recordFence('db-2', 1, now);
-            if (writes > 0) reached.push({offset: offset + writes, at: now});
+            if (writes > 0) writeLog.push({offset: offset + writes, at: now});
             offset += writes;
           }
           ages.recordReplica('db-2', at(applied), now);
-          // The first write that the replica misses dates its data.
-          const missed = reached.find(write => write.offset > applied);
+          // The replica's data is as old as the first write that it lacks.
+          const missed = writeLog.find(write => write.offset > applied);
           const trueAgeMs = missed === undefined ? 0 : now - missed.at;
           expect(ages.ageMs('db-2', now)).toBeGreaterThanOrEqual(trueAgeMs);
         },
--- a/test/routing/replica-choice.test.ts
+++ b/test/routing/replica-choice.test.ts
@@ -52,7 +52,7 @@
 const none = (reason: string) => ({kind: 'none', reason});
 
 describe('chooseTarget', () => {
-  test('prefers a replica of the own data centre', () => {
+  test('prefers a replica in the same data centre', () => {
     const far = candidate('db-2', {dataCentre: 'burnie'});
     const near = candidate('db-3', {outstanding: 2});
     expect(choose([PRIMARY, far, near])).toEqual({
@@ -61,13 +61,13 @@
     });
   });
 
-  test('goes elsewhere when the near one is much busier', () => {
+  test('chooses a remote replica if the local one is much busier', () => {
     const far = candidate('db-2', {dataCentre: 'burnie'});
     const near = candidate('db-3', {outstanding: 3});
     expect(choose([PRIMARY, far, near])).toMatchObject({databaseId: 'db-2'});
   });
 
-  test('takes the least loaded of several near ones', () => {
+  test('chooses the least loaded of several local replicas', () => {
     const busy = candidate('db-2', {outstanding: 2});
     const idle = candidate('db-3', {outstanding: 1});
     expect(choose([PRIMARY, busy, idle])).toMatchObject({databaseId: 'db-3'});
@@ -76,15 +76,15 @@
   test.each([
     ['lags behind the session', {applied: {term: 1, offset: 99}}],
     ['is of an older term', {applied: {term: 0, offset: 999}}],
-    ['is too old', {ageMs: 1001}],
-    ['is of unknown age', {ageMs: Infinity}],
-    ['is of unknown position', {applied: undefined}],
+    ['has data that is too old', {ageMs: 1001}],
+    ['has data of unknown age', {ageMs: Infinity}],
+    ['has an unknown position', {applied: undefined}],
     ["can't be reached", {reachable: false}],
-  ])('passes over a replica that %s', (_, overrides) => {
+  ])('does not choose a replica that %s', (_, overrides) => {
     expect(choose([PRIMARY, candidate('db-2', overrides)])).toEqual(AT_PRIMARY);
   });
 
-  test('waits for the replica that is about to reach the session', () => {
+  test('waits for the replica that is expected to catch up first', () => {
     const behind = {applied: {term: 1, offset: 99}};
     const slow = candidate('db-2', {...behind, expectedWaitMs: 15});
     const soon = candidate('db-3', {...behind, expectedWaitMs: 8});
@@ -101,8 +101,8 @@
 
   test.each([
     ['no stale data is accepted', {staleMs: 0}],
-    ['nothing is known of the session', {position: undefined}],
-  ])('reads at the primary when %s', (_, overrides) => {
+    ['the position of the session is unknown', {position: undefined}],
+  ])('reads from the primary if %s', (_, overrides) => {
     const candidates = [PRIMARY, candidate('db-2')];
     expect(choose(candidates, overrides)).toEqual(AT_PRIMARY);
     expect(choose(candidates, {...overrides, primaryId: undefined})).toEqual(
@@ -110,7 +110,7 @@
     );
   });
 
-  test('goes on reading from replicas while there is no primary', () => {
+  test('reads from replicas while there is no primary', () => {
     const ready = candidate('db-2', {provider: 'new'});
     const withoutPrimary = {primaryId: undefined};
     expect(choose([ready], withoutPrimary)).toMatchObject({kind: 'replica'});
@@ -119,7 +119,7 @@
     );
   });
 
-  test('serves no read from a replica behind the session or too old', () => {
+  test('never chooses a replica that lags behind the session or is too old', () => {
     const candidates = fc.array(
       fc.record({
         applied: fc.record({term: fc.nat(2), offset: fc.nat(5)}),
@@ -154,14 +154,14 @@
     expect(moved.length / sessions.length).toBeCloseTo(0.25, 1);
   });
 
-  test('moves no session back while the new weight rises', () => {
+  test('moves no session back while the new weight increases', () => {
     for (const id of sessions) {
       if (providerOf(id, {old: 90, new: 10}) === 'old') continue;
       expect(providerOf(id, {old: 50, new: 50})).toBe('new');
     }
   });
 
-  test('sends nothing to a provider of no weight', () => {
+  test('chooses no provider with zero weight', () => {
     for (const id of sessions) {
       expect(providerOf(id, {old: 0, new: 5})).toBe('new');
       expect(providerOf(id, {old: 5, new: 0})).toBe('old');
--- a/test/session/position.test.ts
+++ b/test/session/position.test.ts
@@ -11,7 +11,7 @@
   ).toBeGreaterThan(0);
 });
 
-test('reads back what it writes and refuses anything else', () => {
+test('parses what it formats and rejects other text', () => {
   expect(parsePosition(formatPosition({term: 3, offset: 42}))).toEqual({
     term: 3,
     offset: 42,
--- a/test/session/token.test.ts
+++ b/test/session/token.test.ts
@@ -26,8 +26,8 @@
   return result.token;
 }
 
-describe('session token', () => {
-  test('comes back from its text form', () => {
+describe('SessionToken', () => {
+  test('survives encoding and decoding', () => {
     fc.assert(
       fc.property(tokens, token => {
         const text = token.encode(signer);
@@ -43,13 +43,13 @@
     );
   });
 
-  test('only rises', () => {
+  test('never moves to a lower position', () => {
     const token = SessionToken.fresh().with('claims', {term: 2, offset: 7});
     const same = token.with('claims', {term: 1, offset: 99});
     expect(same.at('claims')).toEqual({term: 2, offset: 7});
   });
 
-  test('merges to what covers both', () => {
+  test('merges to a token that covers both', () => {
     fc.assert(
       fc.property(tokens, tokens, (a, b) => {
         const merged = a.merge(b);
@@ -63,14 +63,14 @@
     );
   });
 
-  test('knows nothing of a group when its past is unknown', () => {
+  test('has no position for unlisted groups if its history is unknown', () => {
     expect(SessionToken.fresh().at('claims')).toEqual(START_POSITION);
     expect(SessionToken.unknown().at('claims')).toBeUndefined();
     const written = SessionToken.unknown().with('claims', {term: 1, offset: 1});
     expect(decoded(written.encode(signer)).at('ledger')).toBeUndefined();
   });
 
-  test('leaves out the longest unused group past its bound', () => {
+  test('drops the least recently used group over the limit', () => {
     let token = SessionToken.fresh();
     for (let i = 0; i <= MAX_TOKEN_GROUPS; i++) {
       token = token.with(`group-${i}`, {term: 1, offset: i + 1});
@@ -81,7 +81,7 @@
     expect(token.at('group-1')).toEqual({term: 1, offset: 2});
   });
 
-  test('fits its bound with the longest of names', () => {
+  test('stays within the maximum length with long group names', () => {
     const entries = Array.from(
       {length: MAX_TOKEN_GROUPS},
       (_, i) =>
@@ -100,12 +100,12 @@
     .with('claims', {term: 3, offset: 1042})
     .encode(signer);
 
-  test('refuses a token of another secret as forged', () => {
+  test('rejects a token signed with another secret as forged', () => {
     const other = new TokenSigner('another secret of these tests');
     expect(decodeToken(text, other)).toMatchObject({kind: 'forged'});
   });
 
-  test('refuses a token with any character changed', () => {
+  test('rejects a token with any character changed', () => {
     for (let i = 0; i < text.length - 1; i++) {
       const changed = text[i] === 'A' ? 'B' : 'A';
       const forged = text.slice(0, i) + changed + text.slice(i + 1);
@@ -114,12 +114,12 @@
   });
 
   test.each([
-    ['nothing', ''],
+    ['empty text', ''],
     ['free text', 'claims=3/1042'],
     ['a newer format', text.replace(/^z1/, 'z2')],
     ['too much text', `z1.${'A'.repeat(MAX_TOKEN_CHARS)}.AAAA`],
     ['no signature', text.slice(0, text.lastIndexOf('.'))],
-  ])('reports %s as malformed and says what to do', (_, given) => {
+  ])('rejects %s as malformed with advice', (_, given) => {
     const result = decodeToken(given, signer);
     expect(result).toMatchObject({
       kind: 'malformed',
@@ -127,14 +127,14 @@
     });
   });
 
-  test('accepts the previous secret while a new one rolls out', () => {
+  test('accepts the previous secret during a rotation', () => {
     const rotated = new TokenSigner('the new secret of this test', [SECRET]);
     expect(decodeToken(text, rotated).kind).toBe('valid');
     const later = new TokenSigner('the new secret of this test');
     expect(decodeToken(text, later).kind).toBe('forged');
   });
 
-  test('refuses a secret that is too short', () => {
+  test('rejects a secret that is too short', () => {
     expect(() => new TokenSigner('short')).toThrow(/at least 16 random bytes/);
   });
 });
--- a/test/verdict/retry.test.ts
+++ b/test/verdict/retry.test.ts
@@ -13,7 +13,7 @@
 } from '../../src/verdict/verdict.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
-const HALF = {next: () => 0.5};
+const FIXED_RANDOM = {next: () => 0.5};
 
 async function run(
   verdicts: readonly Verdict[],
@@ -23,7 +23,7 @@
   const startedAt: number[] = [];
   const options: RetryOptions = {
     clock,
-    random: HALF,
+    random: FIXED_RANDOM,
     budget: new RetryBudget(),
     deadlineAt: 10_000,
     attemptMs: 5,
@@ -42,33 +42,33 @@
 const NO_PRIMARY = notRun('noPrimary', 'none');
 
 describe('retryNotRun', () => {
-  test('repeats what did not run, with growing pauses', async () => {
+  test('retries a request that did not run, with growing pauses', async () => {
     const {verdict, startedAt} = await run([NO_PRIMARY, NO_PRIMARY, DONE]);
     expect(verdict).toEqual(DONE);
     expect(startedAt).toEqual([0, 7.5, 22.5]);
   });
 
-  test('waits for as long as the refusal asks', async () => {
+  test('waits for the retry time of the refusal', async () => {
     const asked = notRun('noPrimary', 'none', 300);
     const {startedAt} = await run([asked, DONE]);
     expect(startedAt).toEqual([0, 300]);
   });
 
-  test('never repeats a write that may have run', async () => {
+  test('never retries a write that may have run', async () => {
     const lost = mayHaveRun('targetLost', 'lost');
     const {verdict, startedAt} = await run([lost, DONE]);
     expect(verdict).toEqual(lost);
     expect(startedAt).toHaveLength(1);
   });
 
-  test('repeats a read that may have run', async () => {
+  test('retries a read that may have run', async () => {
     const lost = mayHaveRun('targetLost', 'lost');
     const {verdict} = await run([lost, DONE], {repeatable: true});
     expect(verdict).toEqual(DONE);
   });
 
   test.each(['rateLimited', 'overloaded', 'unsupported', 'cutOff'] as const)(
-    'sends a refusal as %s at once',
+    'returns a refusal for %s without a retry',
     async reason => {
       const refusal = notRun(reason, 'no', 1);
       const {startedAt} = await run([refusal, DONE]);
@@ -77,14 +77,14 @@
     },
   );
 
-  test('gives up at once when the time left fits no other try', async () => {
+  test('returns immediately if the time left is too short for another attempt', async () => {
     const {startedAt} = await run([notRun('noPrimary', 'none', 96), DONE], {
       deadlineAt: 100,
     });
     expect(startedAt).toEqual([0]);
   });
 
-  test('stays within the budget over many requests', async () => {
+  test('stays within the retry budget over many requests', async () => {
     const budget = new RetryBudget(0.1, 2);
     let tries = 0;
     for (let i = 0; i < 100; i++) {
--- a/test/verdict/sqlstate.test.ts
+++ b/test/verdict/sqlstate.test.ts
@@ -41,12 +41,15 @@
     expect(fields.hint).not.toBe('');
   });
 
-  test.each(UNCERTAIN)('maps %s to 08007 and warns of repeating', reason => {
-    const fields = toErrorFields(mayHaveRun(reason, 'why'));
-    expect(fields.sqlstate).toBe('08007');
-    expect(fields.detail).toBe(`outcome=may_have_run reason=${reason}`);
-    expect(fields.hint).toContain('may have run');
-  });
+  test.each(UNCERTAIN)(
+    'maps %s to 08007 and warns that it may have run',
+    reason => {
+      const fields = toErrorFields(mayHaveRun(reason, 'why'));
+      expect(fields.sqlstate).toBe('08007');
+      expect(fields.detail).toBe(`outcome=may_have_run reason=${reason}`);
+      expect(fields.hint).toContain('may have run');
+    },
+  );
 
   test('puts the retry time in the detail and the hint', () => {
     const fields = toErrorFields(notRun('rateLimited', 'over', 119.2));
@@ -57,7 +60,7 @@
     expect(readRetryAfterMs(fields.detail)).toBe(120);
   });
 
-  test('reads no retry time where there is none', () => {
+  test('returns no retry time if the detail has none', () => {
     expect(readRetryAfterMs('outcome=not_run reason=cutOff')).toBeUndefined();
   });
 });
