--- a/src/groups/leadership.ts
+++ b/src/groups/leadership.ts
@@ -72,10 +72,7 @@
     });
   }
 
-  /**
-   * Records a proof of leadership: a command accepted that only a primary
-   * accepts.
-   */
+  /** Records that a database accepted a command that only a primary accepts. */
   noteAccepted(id: string, term: number, sentAt: number): void {
     const known = this.#claims.get(id);
     const wasLeading = known?.leads === true;
--- a/src/groups/replica-confirmer.ts
+++ b/src/groups/replica-confirmer.ts
@@ -20,7 +20,9 @@
   readonly position: Position;
   /** False once the write has been acknowledged, superseded or timed out. */
   readonly waiting: boolean;
+  /** Called when a replica has confirmed the write. */
   onConfirmed(databaseId: string): void;
+  /** Called when a replica is fenced above the write's term. */
   onFenced(databaseId: string, fencedTerm: number): void;
 }
 
--- a/src/verdict/retry.ts
+++ b/src/verdict/retry.ts
@@ -1,4 +1,4 @@
-/** Retries requests within a retry budget and a deadline. */
+/** Retries requests where that is safe, within a retry budget and a deadline. */
 import type {Clock, Random} from '../infra/clock.js';
 import type {RefusalReason, Verdict} from './verdict.js';
 
