--- a/src/sessions/access.ts
+++ b/src/sessions/access.ts
@@ -1,29 +1,29 @@
-/** Decides who may run what, by the catalog in force and its age. */
+/** Authorizes sessions by the current catalog and by how old it may be. */
 import {OPEN_TEAM, type Catalog, type Route} from '../catalog/types.js';
 import {notRun, type NotRun} from '../verdict/verdict.js';
 
 const STALE_RETRY_MS = 500;
 /**
- * Part of the time allowed to a withdrawn key on which no node relies: a
- * statement that was let in may still wait for a slot.
+ * Safety margin subtracted from the revocation time of a key: a statement that
+ * was already admitted may still wait for a slot.
  */
 const REVOKE_SAFETY_MS = 900;
 
-/** What a caller showed at the start of its session. */
+/** The database name and key that a caller sent when it connected. */
 export interface Credentials {
   readonly database: string;
   readonly key: string | undefined;
 }
 
-/** What a decision was made from, for the logs. */
+/** The catalog state behind a decision, for the logs. */
 export interface AccessBasis {
-  /** Version of the configuration in force. */
+  /** Version of the current configuration. */
   readonly version: number;
-  /** Age of the proof that it is the newest. */
+  /** Time since it was last proven to be the newest. */
   readonly ageMs: number;
 }
 
-/** What a session may do at this moment. */
+/** Whether a session may run statements now, and as which team. */
 export type AccessDecision =
   | {readonly kind: 'granted'; readonly route: Route; readonly team: string}
   | {
@@ -32,26 +32,26 @@
       readonly basis: AccessBasis;
     };
 
-/** What the decisions depend on. */
+/** Inputs of the access decisions. */
 export interface AccessOptions {
   readonly catalog: () => Catalog;
-  /** Age of the proof that the catalog is the newest, in milliseconds. */
+  /** Milliseconds since the catalog was last proven to be the newest. */
   readonly ageMs: () => number;
-  /** Age after which a withdrawn key could go unseen. */
+  /** Age above which the catalog may miss the withdrawal of a key. */
   readonly keyLimitMs: number;
 }
 
 /**
- * How old the proof of the configuration may be for keyed work.
+ * Maximum catalog age at which statements that need a key are admitted.
  *
- * @param revokeMs how long a key may work after its withdrawal
+ * @param revokeMs time within which a withdrawn key must stop working
  */
 export function keyLimitFor(revokeMs: number): number {
   return revokeMs - REVOKE_SAFETY_MS;
 }
 
 /**
- * Checks sessions against the catalog, at each operation anew.
+ * Checks a session's credentials against the catalog, before each operation.
  *
  * @example
  * const access = gate.check({database: 'claims', key});
--- a/src/sessions/statement-session.ts
+++ b/src/sessions/statement-session.ts
@@ -1,4 +1,4 @@
-/** One caller's session over any statement protocol. */
+/** A caller's session, independent of the protocol it uses. */
 import {randomBytes} from 'node:crypto';
 import type {Route} from '../catalog/types.js';
 import type {SessionValues} from '../home/bound-connection.js';
@@ -22,19 +22,19 @@
 import {notRun, type Verdict} from '../verdict/verdict.js';
 import type {AccessDecision, AccessGate, Credentials} from './access.js';
 
-/** Enough to tell the sessions of some days apart in the logs. */
+/** 48 bits keep the sessions of several days distinct in the logs. */
 const SESSION_ID_BYTES = 6;
-/** Values and prepared statements that one session may keep of each. */
-const MAX_KEPT = 1_000;
+/** Maximum number of values, and of prepared statements, of one session. */
+const MAX_SESSION_ENTRIES = 1_000;
 
-/** The end of one command, for the caller. */
+/** The outcome of one command, for the caller. */
 export type SessionReply =
   | {
       readonly kind: 'answered';
       readonly output: StatementOutput;
       readonly transaction: TransactionStatus;
     }
-  /** Done without a database. */
+  /** Completed without a database. */
   | {readonly kind: 'local'; readonly transaction: TransactionStatus}
   | {
       readonly kind: 'failed';
@@ -44,7 +44,7 @@
       readonly isFinal: boolean;
     };
 
-/** What a session needs of the node. */
+/** Dependencies of a session. */
 export interface SessionContext {
   readonly clock: Clock;
   readonly log: Logger;
@@ -53,32 +53,32 @@
     HomeForwarder<StatementRequest, StatementResult, never>,
     'execute'
   >;
-  /** Rolls back a transaction at its home. */
+  /** Requests the rollback of a transaction at its home. */
   readonly release: (group: string, pin: string) => void;
-  /** Counts a statement that ended. */
+  /** Records a finished statement in the metrics. */
   readonly observe: (end: StatementEnd) => void;
-  /** The class of a route's work. */
+  /** Scheduling class of a route's statements. */
   readonly priorityOf: (route: Route) => Priority;
 }
 
-/** A transaction that the caller opened. */
+/** The caller's open transaction. */
 interface Transaction {
   readonly readOnly: boolean;
   readonly route: Route;
   readonly team: string;
-  /** Names it at its home; undefined until its first statement ran. */
+  /** Its id at the home; undefined until its first statement has run. */
   pin: string | undefined;
-  /** Time spent on its statements, pauses left out. */
+  /** Total run time of its statements, without the time between them. */
   spentMs: number;
   isFailed: boolean;
 }
 
 /**
- * Keeps a session's state and runs its commands one after the other.
+ * Holds the state of a session and runs its commands sequentially.
  *
- * Its transactions begin at a database with their first statement, and its
- * values and prepared statements are kept here and set up where they are
- * needed, so that any connection may serve it.
+ * A transaction begins at a database with its first statement. Session values
+ * and prepared statements are stored here and set up on a database connection
+ * when a statement needs them, so any connection can serve the session.
  *
  * @example
  * const session = new StatementSession(ctx, {database: 'claims', key});
@@ -134,13 +134,13 @@
     }
   }
 
-  /** Rolls back what is open, once the caller is gone. */
+  /** Rolls back an open transaction after the caller has disconnected. */
   end(): void {
     this.#releasePin();
     this.#transaction = undefined;
   }
 
-  /** Rolls an open transaction back; its caller is told at its next command. */
+  /** Rolls back an open transaction; the caller's next command reports it. */
   breakTransaction(): void {
     this.#releasePin();
     if (this.#transaction !== undefined) this.#transaction.isFailed = true;
@@ -177,7 +177,7 @@
 
   #setValue(name: string, value: string): SessionReply {
     const isNew = !Object.hasOwn(this.#values, name);
-    if (isNew && Object.keys(this.#values).length >= MAX_KEPT) {
+    if (isNew && Object.keys(this.#values).length >= MAX_SESSION_ENTRIES) {
       return this.#failed(notRun('badRequest', 'too many session values'));
     }
     this.#values = {...this.#values, [name]: value};
@@ -185,7 +185,10 @@
   }
 
   #prepare(name: string, shape: PreparedShape): SessionReply {
-    if (!this.#prepared.has(name) && this.#prepared.size >= MAX_KEPT) {
+    if (
+      !this.#prepared.has(name) &&
+      this.#prepared.size >= MAX_SESSION_ENTRIES
+    ) {
       return this.#failed(notRun('badRequest', 'too many prepared statements'));
     }
     this.#prepared.set(name, shape);
@@ -212,7 +215,7 @@
   ): Promise<SessionReply> {
     const open = this.#transaction;
     if (statement.access === 'commit' && (!open || open.isFailed)) {
-      return this.#commitNothing();
+      return this.#refuseCommit();
     }
     const access = this.#ctx.access.check(this.#credentials);
     if (access.kind === 'refused') {
@@ -226,7 +229,7 @@
     );
     const result = await this.#ctx.forwarder.execute(req, () => {}, signal);
     if (open !== undefined) open.spentMs += this.#ctx.clock.now() - startedAt;
-    return this.#conclude(req, result, startedAt);
+    return this.#finish(req, result, startedAt);
   }
 
   #requestFor(
@@ -257,14 +260,14 @@
     };
   }
 
-  #conclude(
+  #finish(
     req: StatementRequest,
     result: StatementResult,
     startedAt: number,
   ): SessionReply {
     const open = this.#transaction;
     const {position, output} = result;
-    const verdict = this.#finalVerdict(req, result.verdict);
+    const verdict = this.#verdictForCaller(req, result.verdict);
     if (position !== undefined) {
       const known = this.#positions.get(req.group);
       this.#positions.set(
@@ -288,25 +291,28 @@
     });
     if (verdict.kind === 'done' && output !== undefined) {
       if (output.error !== undefined)
-        this.#logEnd(req, output.error.code, startedAt);
+        this.#logFailure(req, output.error.code, startedAt);
       return {kind: 'answered', output, transaction: this.transaction};
     }
     if (verdict.kind === 'done') {
       return this.#failed(notRun('badRequest', 'the home gave no answer'));
     }
-    this.#logEnd(req, verdict.reason, startedAt, verdict.message);
+    this.#logFailure(req, verdict.reason, startedAt, verdict.message);
     return this.#failed(verdict);
   }
 
-  /** Only a COMMIT can make a transaction last, and only the session sends it. */
-  #finalVerdict(req: StatementRequest, verdict: Verdict): Verdict {
+  /**
+   * Reports an unknown outcome before COMMIT as rolled back: only a COMMIT,
+   * which only this session sends, makes a transaction's statements last.
+   */
+  #verdictForCaller(req: StatementRequest, verdict: Verdict): Verdict {
     if (verdict.kind !== 'mayHaveRun' || req.commits) return verdict;
     const message = `the transaction was rolled back: ${verdict.message}; begin it again`;
     return notRun('homeUnavailable', message, 0);
   }
 
-  /** The caller's COMMIT of a transaction of which nothing is left. */
-  #commitNothing(): SessionReply {
+  /** Refuses a COMMIT without a transaction, or of one already rolled back. */
+  #refuseCommit(): SessionReply {
     const wasFailed = this.#transaction !== undefined;
     this.#transaction = undefined;
     const verdict = wasFailed
@@ -315,7 +321,7 @@
     return this.#failed(verdict);
   }
 
-  /** Refuses what the session may not do; a revoked session ends. */
+  /** Reports a failed access check and rolls back the open transaction. */
   #refuse(
     {verdict, basis}: AccessDecision & {kind: 'refused'},
     request: string | undefined,
@@ -330,7 +336,7 @@
       message: verdict.message,
       ...basis,
     });
-    // Another node may be able to prove what this one can't.
+    // After `cutOff` the caller may find a node with a proven configuration.
     const isFinal =
       verdict.reason === 'notAuthorised' || verdict.reason === 'cutOff';
     return {
@@ -341,7 +347,7 @@
     };
   }
 
-  #logEnd(
+  #logFailure(
     req: StatementRequest,
     outcome: string,
     startedAt: number,
--- a/src/statements/connection.ts
+++ b/src/statements/connection.ts
@@ -1,20 +1,20 @@
-/** The port to one connection of a database, used for one task at a time. */
+/** Interfaces to open and use database connections, whatever the protocol. */
 import type {TransactionStatus} from '../targets/types.js';
 import type {DatabaseCommand, DatabaseReply, DatabaseState} from './types.js';
 
-/** One connection, opened for one team. */
+/** A database connection of one team, used for one task at a time. */
 export interface StatementConnection {
-  /** False once it is closed. */
+  /** False once the connection is closed. */
   readonly usable: boolean;
   readonly transaction: TransactionStatus;
   /**
-   * Sends commands in one go; resolves to their replies in order.
+   * Sends all commands at once (pipelined); resolves to the replies in order.
    *
    * @throws TargetError `notSent` or `lost`
    */
   run(commands: readonly DatabaseCommand[]): Promise<readonly DatabaseReply[]>;
   /**
-   * Asks the database for its state; undefined while it has no slot for that.
+   * Requests the database's state; undefined if it has no free slot for that.
    *
    * @throws TargetError `notSent` or `lost`
    */
@@ -24,7 +24,7 @@
   onClose(listener: () => void): void;
 }
 
-/** Where a database is, and as which one it is expected there. */
+/** A database's network address and the identity expected there. */
 export interface DatabaseAddress {
   readonly id: string;
   readonly group: string;
@@ -32,10 +32,10 @@
   readonly port: number;
 }
 
-/** Opens connections. */
+/** Opens database connections. */
 export interface StatementConnector {
   /**
-   * Opens a connection for `team` to the database that is known by this id.
+   * Opens a connection for `team` to the given database.
    *
    * @throws TargetError `notSent`, or `refused` with the database's code
    */
--- a/src/statements/types.ts
+++ b/src/statements/types.ts
@@ -1,27 +1,25 @@
-/**
- * Statements as the core knows them, whatever protocol carries them: what a
- * caller asks for, what a database is told, and what it answers.
- */
+/** Protocol-independent caller commands, database commands and replies. */
 import type {Position} from '../session/position.js';
 import type {TransactionStatus} from '../targets/types.js';
 
-/** A statement that a caller prepared, without its name. */
+/** A caller's prepared statement without its name. */
 export interface PreparedShape {
   readonly access: 'read' | 'write';
+  /** The prepared text, opaque to the proxy; arguments follow on execution. */
   readonly shape: string;
 }
 
-/** A statement that must reach a database as its caller wrote it. */
+/** A caller's statement, forwarded to the database unchanged. */
 export interface CallerStatement {
-  /** The caller's id of the request; databases are told it. */
+  /** The caller's request id, forwarded to the database. */
   readonly requestId: string;
   readonly access: 'read' | 'write' | 'commit';
-  /** The whole text; the arguments only where `prepared` is present. */
+  /** The statement text, or only the arguments if `prepared` is set. */
   readonly text: string;
   readonly prepared?: PreparedShape | undefined;
 }
 
-/** What a caller can ask of its session. */
+/** A command from a caller to its session. */
 export type SessionCommand =
   | {readonly kind: 'run'; readonly statement: CallerStatement}
   | {readonly kind: 'begin'; readonly readOnly: boolean}
@@ -41,18 +39,18 @@
   | {readonly kind: 'deallocate'; readonly name: string}
   | {readonly kind: 'invalid'; readonly message: string};
 
-/** What a database can be told on one connection. */
+/** A command sent to a database on one connection. */
 export type DatabaseCommand =
   | {
       readonly kind: 'begin';
       readonly readOnly: boolean;
-      /** Refused as lagging unless the database's log holds this position. */
+      /** Fails with `lagging` unless the database's log includes this position. */
       readonly after?: Position | undefined;
     }
   | {
       readonly kind: 'run';
       readonly statement: CallerStatement;
-      /** The name on this connection of a prepared statement. */
+      /** The prepared statement's name on this connection. */
       readonly preparedName?: string | undefined;
       readonly after?: Position | undefined;
     }
@@ -66,28 +64,28 @@
   /** Drops session values and prepared statements. */
   | {readonly kind: 'reset'};
 
-/** Why a database refused or failed a command. */
+/** The reason for which a database refused or failed a command. */
 export type DatabaseErrorCode =
   /** No slot was free; nothing ran. */
   | 'busy'
-  /** The prepared name is unknown; nothing ran. */
+  /** No statement is prepared under the name; nothing ran. */
   | 'unknownName'
-  /** Its log lacks the position asked for; nothing ran. */
+  /** The database's log does not include the given position; nothing ran. */
   | 'lagging'
-  /** It does not lead; nothing ran. */
+  /** The database is not the primary; nothing ran. */
   | 'notLeader'
-  /** It is not the database that was meant. */
+  /** The connection reached another database than intended. */
   | 'misrouted'
-  /** It has as many connections as it accepts. */
+  /** The database has reached its connection limit. */
   | 'tooManyConnections'
-  /** It ran and failed. */
+  /** The command ran and failed. */
   | 'failed'
-  /** It ran out of time while it ran. */
+  /** The command timed out while it ran. */
   | 'timeout'
-  /** A code that this version does not know; it may have run. */
+  /** A code unknown to this version; the command may have run. */
   | 'other';
 
-/** What a database answered to one command. */
+/** A database's reply to one command. */
 export type DatabaseReply =
   | {
       readonly kind: 'done';
@@ -95,7 +93,7 @@
       /** The database's signature of the result. */
       readonly signature: string;
       readonly transaction: TransactionStatus;
-      /** The last position of its log that reads see. */
+      /** The last log position visible to reads. */
       readonly position: Position | undefined;
     }
   | {
@@ -106,19 +104,19 @@
       readonly position: Position | undefined;
     };
 
-/** What a database says of itself when asked. */
+/** A database's own report of its role, term and log. */
 export interface DatabaseState {
   readonly role: 'primary' | 'replica';
   readonly term: number;
-  /** The last entry of its log. */
+  /** Position of the last entry in its log. */
   readonly received: Position;
 }
 
-/** The result of a caller's statement on its way back. */
+/** The result of a statement, returned to the caller. */
 export interface StatementOutput {
   readonly rows: readonly string[];
   readonly signature: string;
-  /** The database's own error, if it answered with one. */
+  /** The error that the database returned, if any. */
   readonly error?:
     {readonly code: DatabaseErrorCode; readonly detail: string} | undefined;
 }
