--- a/src/callers/aborted-transaction.ts
+++ b/src/callers/aborted-transaction.ts
@@ -1,6 +1,6 @@
 /**
- * Answers for a transaction that ended before its caller ended it: because its
- * database or home was lost, or because the proxy refused a statement in it.
+ * Responses in a transaction that the proxy has rolled back before the caller
+ * ended it, since its database or home was lost or a statement was refused.
  */
 import type {Classification} from '../routing/statement.js';
 import {
@@ -13,12 +13,12 @@
   closeComplete,
   commandComplete,
   noData,
-  noParameters,
+  emptyParameterDescription,
   parseComplete,
   type ErrorFields,
 } from './messages.js';
 
-/** What a statement gets between the failure and the caller's ROLLBACK. */
+/** Error of each statement between the failure and the caller's ROLLBACK. */
 export const TRANSACTION_ABORTED: ErrorFields = {
   severity: 'ERROR',
   sqlstate: '25P02',
@@ -27,10 +27,10 @@
   hint: 'The transaction was rolled back; end it by ROLLBACK and begin it again.',
 };
 
-const STATEMENT_KIND = 'S'.charCodeAt(0);
+const DESCRIBE_STATEMENT = 'S'.charCodeAt(0);
 
-/** Whether a batch does nothing but end the transaction. */
-export function isEnd({statements}: Classification): boolean {
+/** True if all statements of a batch are COMMIT or ROLLBACK without CHAIN. */
+export function onlyEndsTransaction({statements}: Classification): boolean {
   return (
     statements.length > 0 &&
     statements.every(
@@ -41,16 +41,16 @@
   );
 }
 
-/** Whether a batch ends the transaction by ROLLBACK and goes on to other work. */
-export function isRestart({statements}: Classification): boolean {
+/** True if a batch starts with ROLLBACK and has further statements. */
+export function continuesAfterRollback({statements}: Classification): boolean {
   const [first] = statements;
   const isRollback = first?.kind === 'rollback' && !first.chain;
   return isRollback && statements.length > 1;
 }
 
 /**
- * The answer to frames that end a transaction which is rolled back already:
- * COMMIT ends as ROLLBACK, as in PostgreSQL.
+ * Responses to frames that end a transaction already rolled back. COMMIT is
+ * completed as ROLLBACK, as in PostgreSQL.
  *
  * @example
  * socket.write(rollbackAnswer(serialize.query('COMMIT')));
@@ -66,8 +66,8 @@
     case 'B':
       return [bindComplete()];
     case 'D': {
-      const isStatement = bytes[FRAME_HEADER_BYTES] === STATEMENT_KIND;
-      return isStatement ? [noParameters(), noData()] : [noData()];
+      const isStatement = bytes[FRAME_HEADER_BYTES] === DESCRIBE_STATEMENT;
+      return isStatement ? [emptyParameterDescription(), noData()] : [noData()];
     }
     case 'C':
       return [closeComplete()];
--- a/src/callers/batch.ts
+++ b/src/callers/batch.ts
@@ -1,8 +1,8 @@
 /**
- * Extended-protocol batches. Target connections are shared, so no statement
- * may stay prepared on them: each batch carries the Parse messages of the
- * named statements that it uses, under the unnamed statement, and the extra
- * ParseComplete answers are dropped again.
+ * Rewrites extended-query batches for shared target connections, on which no
+ * statement may stay prepared: a batch that uses a named statement first sends
+ * its Parse as the unnamed statement, and the ParseComplete messages that the
+ * caller does not expect are removed from the answer.
  */
 import {serialize} from 'pg-protocol';
 import {buildFrame, cString, splitFrames} from '../targets/frames.js';
@@ -10,44 +10,44 @@
 import {ProtocolError, type Frame} from './socket-reader.js';
 
 const PARSE_COMPLETE = '1';
-const UNKNOWN_STATEMENT = '26000';
-/** Statements that one session may keep prepared. */
+const INVALID_STATEMENT_NAME = '26000';
+/** Maximum number of prepared statements of a session. */
 const MAX_PREPARED = 1_000;
 
-/** A statement that the caller prepared under a name. */
-interface Prepared {
+/** A statement that the caller has prepared. */
+interface PreparedStatement {
   readonly sql: string;
-  /** The Parse body after the name: SQL and parameter types. */
-  readonly tail: Buffer;
+  /** The body of its Parse message after the name: SQL and parameter types. */
+  readonly parseArgs: Buffer;
 }
 
-/** A batch that is ready to run. */
+/** A complete batch, up to and including its Sync. */
 export interface Batch {
-  /** SQL of every statement that the batch parses or executes. */
+  /** SQL of the statements that the batch parses, binds or describes. */
   readonly statements: readonly string[];
-  /** How many Execute messages it holds. */
+  /** Number of Execute messages. */
   readonly executes: number;
   readonly frames: Buffer;
-  /** For each ParseComplete in order: whether the caller expects it. */
-  readonly wantedParses: readonly boolean[];
+  /** For each ParseComplete of the answer: whether the caller expects it. */
+  readonly expectedParses: readonly boolean[];
 }
 
-/** Rebuilds the caller's extended-protocol messages, batch by batch. */
+/** Rewrites the caller's extended-query messages into batches. */
 export class BatchBuilder {
-  readonly #prepared = new Map<string, Prepared>();
+  readonly #prepared = new Map<string, PreparedStatement>();
   #frames: Buffer[] = [];
   #statements: string[] = [];
-  #wantedParses: boolean[] = [];
+  #expectedParses: boolean[] = [];
   #executes = 0;
-  /** Which named statement the unnamed one on the target now holds. */
-  #loaded: string | undefined;
+  /** The caller's name for the statement that is now the unnamed one. */
+  #loadedName: string | undefined;
 
-  /** Whether anything waits for a Sync. */
+  /** True if no message waits for a Sync. */
   get isEmpty(): boolean {
     return this.#frames.length === 0;
   }
 
-  /** Takes one Parse, Bind, Describe, Execute or Close message. */
+  /** Adds a Parse, Bind, Describe, Execute or Close message. */
   add(frame: Frame): void {
     const body = new BodyReader(frame.body);
     switch (frame.type) {
@@ -70,19 +70,19 @@
     }
   }
 
-  /** Ends the batch with Sync and starts the next one. */
+  /** Appends Sync, returns the batch and starts the next one. */
   finish(): Batch {
     const batch: Batch = {
       statements: this.#statements,
       executes: this.#executes,
       frames: Buffer.concat([...this.#frames, serialize.sync()]),
-      wantedParses: this.#wantedParses,
+      expectedParses: this.#expectedParses,
     };
     this.#frames = [];
     this.#statements = [];
-    this.#wantedParses = [];
+    this.#expectedParses = [];
     this.#executes = 0;
-    this.#loaded = undefined;
+    this.#loadedName = undefined;
     return batch;
   }
 
@@ -95,14 +95,14 @@
         `more than ${MAX_PREPARED} prepared statements in a session; close some`,
       );
     }
-    this.#prepared.set(name, {sql, tail});
+    this.#prepared.set(name, {sql, parseArgs: tail});
     this.#loadStatement(name, true);
   }
 
   #bind(body: BodyReader): void {
     const portal = body.cstring();
     const name = body.cstring();
-    this.#use(name);
+    this.#useStatement(name);
     this.#frames.push(
       buildFrame('B', cString(portal), cString(''), body.rest()),
     );
@@ -113,7 +113,7 @@
       this.#frames.push(frame.bytes);
       return;
     }
-    this.#use(body.cstring());
+    this.#useStatement(body.cstring());
     this.#frames.push(buildFrame('D', Buffer.from('S'), cString('')));
   }
 
@@ -123,15 +123,15 @@
       return;
     }
     this.#prepared.delete(body.cstring());
-    this.#loaded = undefined;
+    this.#loadedName = undefined;
     this.#frames.push(buildFrame('C', Buffer.from('S'), cString('')));
   }
 
-  /** Makes the unnamed statement on the target hold the named one. */
-  #use(name: string): void {
+  /** Adds a Parse if the unnamed statement is not the given one yet. */
+  #useStatement(name: string): void {
     const statement = this.#prepared.get(name);
     if (statement !== undefined) this.#statements.push(statement.sql);
-    if (this.#loaded !== name) this.#loadStatement(name, false);
+    if (this.#loadedName !== name) this.#loadStatement(name, false);
   }
 
   #loadStatement(name: string, wanted: boolean): void {
@@ -139,18 +139,18 @@
     if (statement === undefined) {
       throw new ProtocolError(
         `prepared statement "${name}" does not exist`,
-        UNKNOWN_STATEMENT,
+        INVALID_STATEMENT_NAME,
       );
     }
     if (wanted) this.#statements.push(statement.sql);
-    this.#frames.push(buildFrame('P', cString(''), statement.tail));
-    this.#wantedParses.push(wanted);
-    this.#loaded = name;
+    this.#frames.push(buildFrame('P', cString(''), statement.parseArgs));
+    this.#expectedParses.push(wanted);
+    this.#loadedName = name;
   }
 }
 
-/** Drops the ParseComplete answers that the caller did not ask for. */
-export class ParseFilter {
+/** Removes the ParseComplete messages that the caller does not expect. */
+export class ParseCompleteFilter {
   readonly #wanted: readonly boolean[];
   #seen = 0;
 
@@ -158,7 +158,7 @@
     this.#wanted = wanted;
   }
 
-  /** Takes whole frames, returns those meant for the caller. */
+  /** Returns the given whole frames without the unexpected ones. */
   filter(frames: Buffer): Buffer {
     if (this.#seen >= this.#wanted.length) return frames;
     const kept: Buffer[] = [];
--- a/src/callers/body-reader.ts
+++ b/src/callers/body-reader.ts
@@ -1,7 +1,7 @@
-/** Bounded reading of the fields inside one message from a caller. */
+/** Bounds-checked parser for the fields of a caller's message. */
 import {ProtocolError} from './socket-reader.js';
 
-/** A cursor over one message body; every read is checked against its end. */
+/** Reads the fields of a message body in order, never beyond its end. */
 export class BodyReader {
   readonly #body: Buffer;
   #offset = 0;
@@ -22,7 +22,7 @@
     return this.#take(4).readInt32BE(0);
   }
 
-  /** A zero-terminated string. */
+  /** Reads a NUL-terminated string. */
   cstring(): string {
     const end = this.#body.indexOf(0, this.#offset);
     if (end === -1) throw new ProtocolError('a string in a message has no end');
@@ -31,7 +31,7 @@
     return text;
   }
 
-  /** Everything that has not been read. */
+  /** The unread rest of the body; does not advance. */
   rest(): Buffer {
     return this.#body.subarray(this.#offset);
   }
--- a/src/callers/caller-server.ts
+++ b/src/callers/caller-server.ts
@@ -1,4 +1,4 @@
-/** The port for callers: one task for each connection. */
+/** TCP server of the PostgreSQL front end; accepts callers' connections. */
 import {
   createServer,
   type AddressInfo,
@@ -13,7 +13,7 @@
 import {CancelKeys} from './cancel-keys.js';
 import {endSocket} from './end-socket.js';
 import {
-  askCleartextPassword,
+  authenticationCleartextPassword,
   authenticationOk,
   backendKeyData,
   errorResponse,
@@ -21,7 +21,7 @@
   parameterStatus,
   type ErrorFields,
 } from './messages.js';
-import {REPORTED_DEFAULTS, SessionParameters} from './session-parameters.js';
+import {REPORTED_PARAMETERS, SessionParameters} from './session-parameters.js';
 import {ProtocolError} from './socket-reader.js';
 import {
   parseOptions,
@@ -32,7 +32,7 @@
 import type {Authority, SessionDeps} from './types.js';
 
 const MAX_PASSWORD_BYTES = 4_096;
-/** A caller that has not finished its start-up by then is disconnected. */
+/** Time within which a caller must complete start-up and authentication. */
 const STARTUP_TIMEOUT_MS = 10_000;
 const TOO_MANY_CONNECTIONS = '53300';
 const TOO_MANY_RETRY_MS = 1_000;
@@ -44,7 +44,7 @@
   ),
 );
 
-/** Settings of the callers' port. */
+/** Settings of the server. */
 export interface CallerServerOptions {
   readonly vm: string;
   readonly host: string;
@@ -52,11 +52,11 @@
   readonly maxCallers: number;
   readonly tls: SecureContext | undefined;
   readonly deps: SessionDeps;
-  /** Called with cancel requests for sessions of other VMs. */
+  /** Called with a cancel request whose key is not of a session at this VM. */
   readonly forwardCancel: (key: CancelKey) => void;
 }
 
-/** Accepts callers and keeps their sessions. */
+/** Accepts and authenticates callers and runs their sessions. */
 export class CallerServer {
   readonly #options: CallerServerOptions;
   readonly #server: Server;
@@ -64,28 +64,28 @@
   readonly #cancelKeys: CancelKeys<CallerSession>;
   readonly #sockets = new Set<Socket>();
   #draining = false;
-  #whenEmpty: (() => void) | undefined;
+  #onEmpty: (() => void) | undefined;
 
   constructor(options: CallerServerOptions) {
     this.#options = options;
     this.#cancelKeys = new CancelKeys(options.vm);
     this.#server = createServer(
       {noDelay: true, keepAlive: true},
-      socket => void this.#serve(socket),
+      socket => void this.#serveConnection(socket),
     );
   }
 
-  /** The port that it listens on; known once open. */
+  /** The port that the server listens on; valid only while it listens. */
   get port(): number {
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Sessions that are open. */
+  /** Number of open sessions. */
   get sessions(): number {
     return this.#sessions.size;
   }
 
-  /** Resolves once the port is open. */
+  /** Starts to listen; resolves when the port is open. */
   listen(): Promise<void> {
     const {port, host} = this.#options;
     return new Promise((resolve, reject) => {
@@ -97,14 +97,14 @@
     });
   }
 
-  /** Cancels the statement of a session of this VM; false if not found. */
+  /** Cancels a session's running statement; false if no session has the key. */
   cancel(key: CancelKey): boolean {
     const session = this.#cancelKeys.find(key);
     session?.cancel();
     return session !== undefined;
   }
 
-  /** Ends every session whose authority no longer holds. */
+  /** Ends every session for which `refusalOf` returns a refusal. */
   closeRevoked(refusalOf: (authority: Authority) => NotRun | undefined): void {
     for (const session of this.#sessions) {
       const refusal = refusalOf(session.authority);
@@ -115,8 +115,9 @@
   }
 
   /**
-   * Takes no new callers, lets running statements and open transactions end,
-   * then closes; sessions left after `drainMs` are cut.
+   * Refuses new callers and ends each session once it has no running statement
+   * or open transaction. Then, or after `drainMs`, destroys the remaining
+   * connections. Resolves to the number of sessions cut off by the timeout.
    */
   async drain(drainMs: number): Promise<number> {
     this.#draining = true;
@@ -130,32 +131,32 @@
   async #waitUntilEmpty(drainMs: number): Promise<number> {
     if (this.#sessions.size === 0) return 0;
     const stop = new AbortController();
-    const empty = new Promise<void>(resolve => (this.#whenEmpty = resolve));
-    const late = this.#options.deps.clock.sleep(drainMs, stop.signal);
-    await Promise.race([empty, late]);
+    const empty = new Promise<void>(resolve => (this.#onEmpty = resolve));
+    const timeout = this.#options.deps.clock.sleep(drainMs, stop.signal);
+    await Promise.race([empty, timeout]);
     stop.abort();
     return this.#sessions.size;
   }
 
-  async #serve(socket: Socket): Promise<void> {
+  async #serveConnection(socket: Socket): Promise<void> {
     this.#sockets.add(socket);
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.#sockets.delete(socket));
     const timer = setTimeout(() => socket.destroy(), STARTUP_TIMEOUT_MS);
     try {
       const startup = await readStartup(socket, this.#options.tls);
-      if (startup.kind === 'cancel') this.#cancelAnywhere(startup.key);
+      if (startup.kind === 'cancel') this.#cancelOrForward(startup.key);
       if (startup.kind !== 'session') return endSocket(socket);
       startup.socket.on('error', () => socket.destroy());
       await this.#startSession(startup, timer);
     } catch (err) {
-      this.#rejectProtocol(socket, err);
+      this.#rejectConnection(socket, err);
     } finally {
       clearTimeout(timer);
     }
   }
 
-  #rejectProtocol(socket: Socket, err: unknown): void {
+  #rejectConnection(socket: Socket, err: unknown): void {
     const message = err instanceof Error ? err.message : String(err);
     const known = err instanceof ProtocolError;
     if (!known) this.#options.deps.log.error('callerFailed', {message});
@@ -164,7 +165,7 @@
     endSocket(socket, errorResponse(toErrorFields(verdict)));
   }
 
-  #cancelAnywhere(key: CancelKey): void {
+  #cancelOrForward(key: CancelKey): void {
     if (!this.cancel(key)) this.#options.forwardCancel(key);
   }
 
@@ -173,14 +174,14 @@
     timer: NodeJS.Timeout,
   ): Promise<void> {
     const {socket} = startup;
-    const refusal = this.#refusalAtStart();
+    const refusal = this.#admissionError();
     if (refusal !== undefined) return endSocket(socket, errorResponse(refusal));
     const authority = await this.#authenticate(startup);
     clearTimeout(timer);
     if (authority === undefined) return;
     const {signer, deadlineMs} = this.#options.deps;
     const parameters = new SessionParameters(signer, deadlineMs);
-    const fault = applyStartup(parameters, startup.params);
+    const fault = applyStartupParameters(parameters, startup.params);
     if (fault !== undefined) return endSocket(socket, errorResponse(fault));
     const session = new CallerSession(
       startup,
@@ -191,16 +192,16 @@
     const key = this.#cancelKeys.issue(session);
     this.#sessions.add(session);
     try {
-      socket.write(greeting(startup, key));
+      socket.write(startupResponse(startup, key));
       await session.run();
     } finally {
-      this.#cancelKeys.forget(key);
+      this.#cancelKeys.revoke(key);
       this.#sessions.delete(session);
-      if (this.#sessions.size === 0) this.#whenEmpty?.();
+      if (this.#sessions.size === 0) this.#onEmpty?.();
     }
   }
 
-  #refusalAtStart(): ErrorFields | undefined {
+  #admissionError(): ErrorFields | undefined {
     if (this.#draining) return SHUTDOWN;
     if (this.#sessions.size < this.#options.maxCallers) return undefined;
     return {
@@ -211,7 +212,7 @@
     };
   }
 
-  /** Checks the caller's key; answers and returns undefined if it fails. */
+  /** Checks the caller's key; sends the error and returns undefined on failure. */
   async #authenticate(
     startup: Extract<Startup, {kind: 'session'}>,
   ): Promise<Authority | undefined> {
@@ -225,7 +226,7 @@
       return undefined;
     }
     if (route.kind === 'open') return access.openAuthority(database);
-    socket.write(askCleartextPassword());
+    socket.write(authenticationCleartextPassword());
     const frame = await reader.readFrame(MAX_PASSWORD_BYTES);
     if (frame === undefined) return undefined;
     if (frame.type !== 'p') {
@@ -239,7 +240,7 @@
   }
 }
 
-function applyStartup(
+function applyStartupParameters(
   parameters: SessionParameters,
   params: ReadonlyMap<string, string>,
 ): ErrorFields | undefined {
@@ -253,14 +254,16 @@
   return undefined;
 }
 
-function greeting(
+function startupResponse(
   startup: Extract<Startup, {kind: 'session'}>,
   key: CancelKey,
 ): Buffer {
   const unknown = [...startup.params.keys()].filter(n => n.startsWith('_pq_.'));
   const negotiate =
     startup.minor > 0 || unknown.length > 0 ? [negotiateVersion(unknown)] : [];
-  const reports = [...REPORTED_DEFAULTS].map(([n, v]) => parameterStatus(n, v));
+  const reports = [...REPORTED_PARAMETERS].map(([n, v]) =>
+    parameterStatus(n, v),
+  );
   return Buffer.concat([
     ...negotiate,
     authenticationOk(),
--- a/src/callers/caller-session.ts
+++ b/src/callers/caller-session.ts
@@ -1,12 +1,12 @@
-/** One caller's session: a task that reads, runs and answers, in order. */
+/** A caller's session: reads its messages, runs them and answers in order. */
 import type {Duplex} from 'node:stream';
 import {classificationOf, type Classification} from '../routing/statement.js';
 import {BatchCollector} from './batch-collector.js';
-import {ParseFilter} from './batch.js';
+import {ParseCompleteFilter} from './batch.js';
 import {BodyReader} from './body-reader.js';
 import {endSocket} from './end-socket.js';
-import {GroupAnswers} from './group-answers.js';
-import {LocalAnswers} from './local-answers.js';
+import {GroupResponder} from './group-responder.js';
+import {LocalResponder} from './local-responder.js';
 import {errorResponse, readyForQuery, type ErrorFields} from './messages.js';
 import {SessionOutput} from './session-output.js';
 import type {SessionParameters} from './session-parameters.js';
@@ -14,26 +14,26 @@
 import {StatementRunner, type RunRequest} from './statement-runner.js';
 import type {Authority, SessionDeps} from './types.js';
 
-/** Bytes of one message from a caller at most. */
+/** Maximum length of a caller's message. */
 export const MAX_MESSAGE_BYTES = 16 * 1024 * 1024;
 
-/** Where a session reads and writes. */
+/** A session's socket and the reader of its input. */
 export interface SessionChannel {
   readonly socket: Duplex;
   readonly reader: SocketReader;
 }
 
-/** A session that has been authenticated. */
+/** An authenticated session. */
 export class CallerSession {
   readonly #channel: SessionChannel;
   readonly #deps: SessionDeps;
   readonly #authority: Authority;
   readonly #runner: StatementRunner;
   readonly #output: SessionOutput;
-  readonly #local: LocalAnswers;
-  readonly #group: GroupAnswers;
+  readonly #local: LocalResponder;
+  readonly #group: GroupResponder;
   readonly #batch = new BatchCollector();
-  readonly #gone = new AbortController();
+  readonly #disconnected = new AbortController();
   #busy = false;
   #closing: ErrorFields | undefined;
 
@@ -51,16 +51,16 @@
     const {signer} = deps;
     this.#output = output;
     this.#runner = runner;
-    this.#local = new LocalAnswers(output, parameters);
-    this.#group = new GroupAnswers({output, parameters, runner, signer});
-    channel.socket.on('close', () => this.#gone.abort());
+    this.#local = new LocalResponder(output, parameters);
+    this.#group = new GroupResponder({output, parameters, runner, signer});
+    channel.socket.on('close', () => this.#disconnected.abort());
   }
 
   get authority(): Authority {
     return this.#authority;
   }
 
-  /** Serves the session until it ends. */
+  /** Serves the session until the caller or {@link close} ends it. */
   async run(): Promise<void> {
     try {
       this.#output.add(readyForQuery('idle'));
@@ -74,20 +74,20 @@
         message: err.message,
       });
     } finally {
-      this.#runner.abandon();
+      this.#runner.releaseTransaction();
       this.#output.flush();
       endSocket(this.#channel.socket);
     }
   }
 
-  /** Asks the database to stop the running statement. */
+  /** Cancels the running statement, if there is one. */
   cancel(): void {
     if (this.#busy) this.#runner.cancel();
   }
 
   /**
-   * Ends the session with an error: at once where it is idle, else after the
-   * running statement, and after the open transaction where `graceful`.
+   * Ends the session with an error: immediately if it runs no statement, else
+   * after it. If `graceful`, an open transaction or batch is completed first.
    */
   close(fields: ErrorFields, graceful: boolean): void {
     this.#closing = fields;
@@ -95,16 +95,17 @@
     this.#writeError(fields);
     this.#output.flush();
     this.#channel.socket.end();
-    // A statement on its way is told that it did not run, so it must not.
+    // The error tells the caller that any statement still in transit did not
+    // run, so no further input may be read.
     this.#channel.reader.stop();
   }
 
-  /** Whether neither a transaction nor a batch is open. */
+  /** True if no transaction and no batch is open. */
   get #isBetweenRequests(): boolean {
     return this.#runner.transaction === 'idle' && this.#batch.isEmpty;
   }
 
-  /** Serves one message; false when the session is over. */
+  /** Reads and serves one message; false if the session has ended. */
   async #serveNext(): Promise<boolean> {
     const frame = await this.#channel.reader.readFrame(MAX_MESSAGE_BYTES);
     if (frame === undefined || frame.type === 'X') return false;
@@ -138,37 +139,40 @@
         classification,
         statements: classification.statements.length,
         arrivedAt,
-        sink: frames => this.#output.pass(Buffer.from(frames)),
-        signal: this.#gone.signal,
+        sink: frames => this.#output.addWithBackpressure(Buffer.from(frames)),
+        signal: this.#disconnected.signal,
       });
     }
-    this.#endCycle();
+    this.#sendReadyForQuery();
   }
 
   async #serveSync(): Promise<void> {
     const arrivedAt = this.#deps.clock.now();
     const batch = this.#batch.finish();
-    if (batch === undefined) return this.#endCycle();
+    if (batch === undefined) return this.#sendReadyForQuery();
     const classification = await this.#classifyAll(batch.statements);
-    if (!this.#local.refuseUnserved(classification.strictest)) {
-      const filter = new ParseFilter(batch.wantedParses);
+    if (!this.#local.refuseIfUnsupported(classification.strictest)) {
+      const filter = new ParseCompleteFilter(batch.expectedParses);
       await this.#run({
         frames: batch.frames,
         classification,
         statements: batch.executes,
         arrivedAt,
-        sink: frames => this.#output.pass(filter.filter(Buffer.from(frames))),
-        signal: this.#gone.signal,
+        sink: frames =>
+          this.#output.addWithBackpressure(filter.filter(Buffer.from(frames))),
+        signal: this.#disconnected.signal,
       });
     }
-    this.#endCycle();
+    this.#sendReadyForQuery();
   }
 
   async #classifyAll(texts: readonly string[]): Promise<Classification> {
-    const found = await Promise.all(
+    const classifications = await Promise.all(
       [...new Set(texts)].map(sql => this.#deps.classifier.classify(sql)),
     );
-    return classificationOf(found.flatMap(({statements}) => statements));
+    return classificationOf(
+      classifications.flatMap(({statements}) => statements),
+    );
   }
 
   async #run(req: RunRequest): Promise<void> {
@@ -176,12 +180,15 @@
     this.#closing ??= fatal;
   }
 
-  /** An error fails an open transaction, also one that no database made. */
-  #endCycle(): void {
-    const {transaction, isBroken} = this.#runner;
-    const refused = this.#local.takeRefused();
+  /**
+   * Ends a query cycle. An error sent by the proxy itself aborts the open
+   * transaction first, as an error of the database would.
+   */
+  #sendReadyForQuery(): void {
+    const {transaction, isAborted: isBroken} = this.#runner;
+    const refused = this.#local.consumeRefused();
     if (refused && transaction !== 'idle' && !isBroken) {
-      this.#runner.breakTransaction();
+      this.#runner.abortTransaction();
     }
     this.#output.add(readyForQuery(this.#runner.transaction));
   }
--- a/src/callers/cancel-keys.ts
+++ b/src/callers/cancel-keys.ts
@@ -1,31 +1,32 @@
 /**
- * Keys by which a caller cancels its own statements. The balancer may take a
- * cancel request to any VM, so a key tells which VM made it.
+ * Backend key data, with which a caller cancels its own statements. The load
+ * balancer may send a cancel request to any VM, so the process id of a key
+ * includes a hash of the VM that issued it.
  */
 import {createHash, randomInt} from 'node:crypto';
 import type {CancelKey} from './startup.js';
 
 const VM_HASH_BITS = 12;
-const SERIAL_BITS = 31 - VM_HASH_BITS;
-const SECRET_LIMIT = 2 ** 31;
+const SESSION_NUMBER_BITS = 31 - VM_HASH_BITS;
+const SECRET_KEY_LIMIT = 2 ** 31;
 
 /**
- * The part of a key that a VM recognises as its own; VMs may share one.
+ * The hash in the keys that a VM issues; several VMs may have the same hash.
  *
  * @example
- * if (vmHash('vm3') === vmHashOf(key)) askVm('vm3');
+ * if (vmHash('vm3') === vmHashOf(key)) forwardTo('vm3');
  */
 export function vmHash(vm: string): number {
   const digest = createHash('sha256').update(vm).digest();
   return digest.readUInt16BE(0) >>> (16 - VM_HASH_BITS);
 }
 
-/** The hash of the VM that made a key. */
+/** The hash of the VM that issued a key. */
 export function vmHashOf(key: CancelKey): number {
-  return key.processId >>> SERIAL_BITS;
+  return key.processId >>> SESSION_NUMBER_BITS;
 }
 
-/** The cancel keys of one VM's sessions. */
+/** The backend keys of the sessions at this VM. */
 export class CancelKeys<Session> {
   readonly #hash: number;
   readonly #sessions = new Map<number, {secret: number; session: Session}>();
@@ -34,24 +35,26 @@
     this.#hash = vmHash(vm);
   }
 
-  /** Makes a key for a session. */
+  /** Issues an unused random key for a session. */
   issue(session: Session): CancelKey {
     let processId: number;
     do {
-      processId = (this.#hash << SERIAL_BITS) | randomInt(2 ** SERIAL_BITS);
+      processId =
+        (this.#hash << SESSION_NUMBER_BITS) |
+        randomInt(2 ** SESSION_NUMBER_BITS);
     } while (this.#sessions.has(processId));
-    const secret = randomInt(SECRET_LIMIT);
+    const secret = randomInt(SECRET_KEY_LIMIT);
     this.#sessions.set(processId, {secret, session});
     return {processId, secret};
   }
 
-  /** The session that a key names, if the key is right. */
+  /** The session of a key; undefined if the id or the secret is wrong. */
   find(key: CancelKey): Session | undefined {
     const entry = this.#sessions.get(key.processId);
     return entry?.secret === key.secret ? entry.session : undefined;
   }
 
-  forget(key: CancelKey): void {
+  revoke(key: CancelKey): void {
     this.#sessions.delete(key.processId);
   }
 }
--- a/src/callers/end-socket.ts
+++ b/src/callers/end-socket.ts
@@ -1,12 +1,13 @@
-/** The end of a caller's connection. */
+/** Graceful close of a caller's connection. */
 import type {Duplex} from 'node:stream';
 
-/** How long a caller may take to close its side. */
+/** Time after which a connection that the caller keeps open is destroyed. */
 const LINGER_MS = 2_000;
 
 /**
- * Sends what is left and closes; a caller that does not close its own side, or
- * goes on sending, is cut off.
+ * Sends a last message and pending data, then closes the write side. Further
+ * input is discarded, and the socket is destroyed if the caller does not close
+ * its own side in time.
  *
  * @example
  * endSocket(socket, errorResponse(fields));
--- a/src/callers/group-responder.ts
+++ b/src/callers/group-responder.ts
@@ -1,45 +1,48 @@
-/** Answers that a session gets from its group. */
+/** Runs batches on a session's database group and reports their errors. */
 import type {TokenSigner} from '../session/token-signer.js';
 import {toErrorFields} from '../verdict/sqlstate.js';
 import type {Verdict} from '../verdict/verdict.js';
 import {
-  isEnd,
-  isRestart,
+  onlyEndsTransaction,
+  continuesAfterRollback,
   rollbackAnswer,
   TRANSACTION_ABORTED,
-} from './broken-transaction.js';
+} from './aborted-transaction.js';
 import {errorResponse, parameterStatus, type ErrorFields} from './messages.js';
 import type {SessionOutput} from './session-output.js';
 import {TOKEN_PARAMETER, type SessionParameters} from './session-parameters.js';
 import type {RunRequest, StatementRunner} from './statement-runner.js';
 
-/** What the answers are built from. */
-export interface GroupAnswersOptions {
+/** Dependencies of a responder. */
+export interface GroupResponderOptions {
   readonly output: SessionOutput;
   readonly parameters: SessionParameters;
   readonly runner: StatementRunner;
   readonly signer: TokenSigner;
 }
 
-/** Runs batches on the group and says how those ended that failed. */
-export class GroupAnswers {
-  readonly #options: GroupAnswersOptions;
+/**
+ * Runs batches on the database group. Answers of the database stream to the
+ * request's sink; errors and new session tokens go to the session's output.
+ */
+export class GroupResponder {
+  readonly #options: GroupResponderOptions;
 
-  constructor(options: GroupAnswersOptions) {
+  constructor(options: GroupResponderOptions) {
     this.#options = options;
   }
 
   /**
-   * Runs a batch, or answers for a transaction that is rolled back already.
-   * Returns the error after which the session has to end, if there is one.
+   * Runs a batch, or answers it itself if the transaction is already aborted.
+   * Returns an error if it must end the session.
    */
   async run(req: RunRequest): Promise<ErrorFields | undefined> {
     const {runner, parameters} = this.#options;
-    if (runner.isBroken && !isRestart(req.classification)) {
-      await this.#answerBroken(req);
+    if (runner.isAborted && !continuesAfterRollback(req.classification)) {
+      await this.#answerAborted(req);
       return undefined;
     }
-    if (runner.isBroken) runner.endBroken();
+    if (runner.isAborted) runner.clearAborted();
     const before = parameters.token;
     const {verdict} = await runner.run(req);
     if (verdict.kind !== 'done') return this.#sendVerdict(verdict);
@@ -48,12 +51,12 @@
     return undefined;
   }
 
-  async #answerBroken(req: RunRequest): Promise<void> {
+  async #answerAborted(req: RunRequest): Promise<void> {
     const {runner, output} = this.#options;
-    if (!isEnd(req.classification)) {
+    if (!onlyEndsTransaction(req.classification)) {
       return output.add(errorResponse(TRANSACTION_ABORTED));
     }
-    runner.endBroken();
+    runner.clearAborted();
     await req.sink(rollbackAnswer(req.frames));
   }
 
@@ -61,7 +64,7 @@
     verdict: Exclude<Verdict, {kind: 'done'}>,
   ): ErrorFields | undefined {
     const fields = toErrorFields(verdict);
-    // A fatal error follows once the session is between two requests.
+    // FATAL is sent later, when no transaction or batch is open.
     this.#options.output.add(errorResponse({...fields, severity: 'ERROR'}));
     return fields.severity === 'FATAL' ? fields : undefined;
   }
--- a/src/callers/local-responder.ts
+++ b/src/callers/local-responder.ts
@@ -1,4 +1,4 @@
-/** Answers that a session gives without its group. */
+/** Responses that the proxy gives without a database. */
 import type {Statement} from '../routing/statement.js';
 import {toErrorFields} from '../verdict/sqlstate.js';
 import {notRun} from '../verdict/verdict.js';
@@ -6,14 +6,14 @@
   commandComplete,
   emptyQueryResponse,
   errorResponse,
-  singleValue,
+  singleValueResult,
   type ErrorFields,
 } from './messages.js';
 import type {SessionOutput} from './session-output.js';
 import type {SessionParameters} from './session-parameters.js';
 
-/** Answers what no database needs to see and refuses what is not served. */
-export class LocalAnswers {
+/** Answers SET, SHOW and empty queries, and refuses unsupported statements. */
+export class LocalResponder {
   readonly #output: SessionOutput;
   readonly #parameters: SessionParameters;
   #refused = false;
@@ -23,7 +23,7 @@
     this.#parameters = parameters;
   }
 
-  /** Answers a statement of a simple query; false if a database has to. */
+  /** Answers a simple query; false if a database has to run it. */
   answer(statement: Statement): boolean {
     switch (statement.kind) {
       case 'empty':
@@ -36,15 +36,15 @@
         this.#answerShow(statement.name);
         return true;
       default:
-        return this.refuseUnserved(statement);
+        return this.refuseIfUnsupported(statement);
     }
   }
 
-  /** Refuses what a batch can't do; true if it was refused. */
-  refuseUnserved(statement: Statement): boolean {
+  /** Refuses a statement that a batch can't run; false if it can. */
+  refuseIfUnsupported(statement: Statement): boolean {
     switch (statement.kind) {
       case 'unsupported':
-        this.#refuseUnsupported(statement.message);
+        this.#sendUnsupported(statement.message);
         return true;
       case 'invalid': {
         const {sqlstate, message} = statement;
@@ -54,7 +54,7 @@
       case 'set':
       case 'show': {
         const command = statement.kind.toUpperCase();
-        this.#refuseUnsupported(`send ${command} as a simple query`);
+        this.#sendUnsupported(`send ${command} as a simple query`);
         return true;
       }
       default:
@@ -62,14 +62,14 @@
     }
   }
 
-  /** Sends an error of the proxy's own. */
+  /** Sends an error of the proxy itself. */
   refuse(fields: ErrorFields): void {
     this.#refused = true;
     this.#output.add(errorResponse(fields));
   }
 
-  /** Whether it refused anything since this was last asked. */
-  takeRefused(): boolean {
+  /** True if anything was refused since the last call. */
+  consumeRefused(): boolean {
     const refused = this.#refused;
     this.#refused = false;
     return refused;
@@ -86,11 +86,11 @@
     if (typeof value !== 'string') {
       return this.refuse({severity: 'ERROR', ...value});
     }
-    this.#output.add(singleValue(name, value));
+    this.#output.add(singleValueResult(name, value));
     this.#output.add(commandComplete('SHOW'));
   }
 
-  #refuseUnsupported(message: string): void {
+  #sendUnsupported(message: string): void {
     this.refuse(toErrorFields(notRun('unsupported', message)));
   }
 }
--- a/src/callers/messages.ts
+++ b/src/callers/messages.ts
@@ -1,4 +1,4 @@
-/** Messages of the PostgreSQL protocol v3 that a server sends to a caller. */
+/** Builders of the PostgreSQL protocol v3 backend messages. */
 import {Writer} from 'pg-protocol/dist/buffer-writer.js';
 import type {TransactionStatus} from '../targets/types.js';
 
@@ -25,7 +25,7 @@
 const TEXT_OID = 25;
 const VARIABLE_LENGTH = -1;
 
-/** The fields of an error that a caller sees. */
+/** The fields of an ErrorResponse to a caller. */
 export interface ErrorFields {
   readonly severity: 'ERROR' | 'FATAL';
   readonly sqlstate: string;
@@ -38,7 +38,7 @@
   return new Writer().addInt32(AUTHENTICATION_OK).flush(TYPE.authentication);
 }
 
-export function askCleartextPassword(): Buffer {
+export function authenticationCleartextPassword(): Buffer {
   return new Writer()
     .addInt32(AUTHENTICATION_CLEARTEXT)
     .flush(TYPE.authentication);
@@ -58,21 +58,23 @@
     .flush(TYPE.backendKeyData);
 }
 
-/** Tells a caller of a newer minor version that 3.0 is spoken here. */
+/** NegotiateProtocolVersion to 3.0, for a caller that requests a later minor. */
 export function negotiateVersion(unknownOptions: readonly string[]): Buffer {
   const writer = new Writer().addInt32(0).addInt32(unknownOptions.length);
   for (const option of unknownOptions) writer.addCString(option);
   return writer.flush(TYPE.negotiateVersion);
 }
 
-const READY_CODES: Readonly<Record<TransactionStatus, string>> = {
+const TRANSACTION_STATUS_CODES: Readonly<Record<TransactionStatus, string>> = {
   idle: 'I',
   open: 'T',
   failed: 'E',
 };
 
 export function readyForQuery(status: TransactionStatus): Buffer {
-  return new Writer().addString(READY_CODES[status]).flush(TYPE.readyForQuery);
+  return new Writer()
+    .addString(TRANSACTION_STATUS_CODES[status])
+    .flush(TYPE.readyForQuery);
 }
 
 export function errorResponse(fields: ErrorFields): Buffer {
@@ -105,13 +107,13 @@
   return new Writer().flush(TYPE.closeComplete);
 }
 
-/** Says that a statement returns no rows. */
+/** Response to Describe of a statement that returns no rows. */
 export function noData(): Buffer {
   return new Writer().flush(TYPE.noData);
 }
 
-/** Says that a statement takes no parameters. */
-export function noParameters(): Buffer {
+/** ParameterDescription of a statement without parameters. */
+export function emptyParameterDescription(): Buffer {
   return new Writer().addInt16(0).flush(TYPE.parameterDescription);
 }
 
@@ -119,8 +121,8 @@
   return new Writer().flush(TYPE.emptyQuery);
 }
 
-/** A one-column, one-row text result, as for SHOW. */
-export function singleValue(column: string, value: string): Buffer {
+/** A text result of one column and one row, as for SHOW. */
+export function singleValueResult(column: string, value: string): Buffer {
   const description = new Writer()
     .addInt16(1)
     .addCString(column)
--- a/src/callers/session-output.ts
+++ b/src/callers/session-output.ts
@@ -1,10 +1,10 @@
-/** What a session sends to its caller, in as few writes as its order allows. */
+/** Buffered output of a session to its caller. */
 import type {Duplex} from 'node:stream';
 
-/** Bytes that are collected before they are written early. */
+/** Buffered bytes from which streamed frames are written to the socket. */
 const MAX_PENDING_BYTES = 65_536;
 
-/** Collects messages and writes them together. */
+/** Collects messages and writes them to the socket together. */
 export class SessionOutput {
   readonly #socket: Duplex;
   #pending: Uint8Array[] = [];
@@ -20,14 +20,14 @@
     this.#pendingBytes += message.length;
   }
 
-  /** Queues frames of an answer, waiting while the caller reads slowly. */
-  async pass(frames: Uint8Array): Promise<void> {
+  /** Queues frames of an answer; waits while the socket's buffer is full. */
+  async addWithBackpressure(frames: Uint8Array): Promise<void> {
     this.add(frames);
     if (this.#pendingBytes < MAX_PENDING_BYTES) return;
-    if (!this.flush()) await this.#drained();
+    if (!this.flush()) await this.#waitForDrain();
   }
 
-  /** Writes what is queued; false while the caller reads slowly. */
+  /** Writes the queued messages; false if the socket's buffer is full. */
   flush(): boolean {
     const pending = this.#pending;
     this.#pending = [];
@@ -36,7 +36,7 @@
     return this.#socket.write(Buffer.concat(pending));
   }
 
-  #drained(): Promise<void> {
+  #waitForDrain(): Promise<void> {
     return new Promise(resolve => {
       const done = () => {
         this.#socket.off('drain', done);
--- a/src/callers/session-parameters.ts
+++ b/src/callers/session-parameters.ts
@@ -1,4 +1,7 @@
-/** Session parameters: the proxy's own, and the harmless ones it keeps. */
+/**
+ * Parameters of a session. The proxy acts on its own (`zinnia.*`) and only
+ * stores any other, so that SHOW returns what SET has assigned.
+ */
 import type {Priority} from '../home/types.js';
 import {decodeToken, SessionToken} from '../session/token.js';
 import type {TokenSigner} from '../session/token-signer.js';
@@ -12,14 +15,14 @@
 const INVALID_VALUE = '22023';
 const UNKNOWN_PARAMETER = '42704';
 
-/** A parameter that could not be set or shown. */
+/** The error of a SET or SHOW that failed. */
 export interface ParameterFault {
   readonly sqlstate: string;
   readonly message: string;
 }
 
-/** What callers expect a PostgreSQL server to report at the start. */
-export const REPORTED_DEFAULTS: ReadonlyMap<string, string> = new Map([
+/** Parameters that a PostgreSQL server reports at start-up, by name. */
+export const REPORTED_PARAMETERS: ReadonlyMap<string, string> = new Map([
   ['server_version', '15.0 (zinniaarch)'],
   ['server_encoding', 'UTF8'],
   ['client_encoding', 'UTF8'],
@@ -30,11 +33,11 @@
   ['standard_conforming_strings', 'on'],
 ]);
 
-/** The parameters of one session, its token among them. */
+/** The parameters of one session, including its session token. */
 export class SessionParameters {
   readonly #signer: TokenSigner;
   readonly #defaultDeadlineMs: number;
-  readonly #kept = new Map<string, string>();
+  readonly #custom = new Map<string, string>();
   #token = SessionToken.unknown();
   #deadlineMs: number;
   #priority: Priority | undefined;
@@ -57,12 +60,12 @@
     return this.#deadlineMs;
   }
 
-  /** The class that the session asked for. */
+  /** The scheduling class that the session requested, if any. */
   get priority(): Priority | undefined {
     return this.#priority;
   }
 
-  /** Sets a parameter; undefined goes back to its default. */
+  /** Sets a parameter; undefined resets it to its default. */
   set(name: string, value: string | undefined): ParameterFault | undefined {
     switch (name.toLowerCase()) {
       case TOKEN_PARAMETER:
@@ -72,19 +75,19 @@
       case PRIORITY_PARAMETER:
         return this.#setPriority(value);
       default:
-        return this.#keep(name, value);
+        return this.#setCustom(name, value);
     }
   }
 
-  /** Reads a parameter as SHOW does. */
+  /** Returns a parameter's value for SHOW. */
   show(name: string): string | ParameterFault {
     const lower = name.toLowerCase();
     if (lower === TOKEN_PARAMETER) return this.#token.encode(this.#signer);
     if (lower === DEADLINE_PARAMETER) return String(this.#deadlineMs);
     if (lower === PRIORITY_PARAMETER) return this.#priority ?? 'default';
-    const kept = this.#kept.get(lower);
-    if (kept !== undefined) return kept;
-    for (const [known, value] of REPORTED_DEFAULTS) {
+    const custom = this.#custom.get(lower);
+    if (custom !== undefined) return custom;
+    for (const [known, value] of REPORTED_PARAMETERS) {
       if (known.toLowerCase() === lower) return value;
     }
     return {
@@ -135,15 +138,18 @@
     return undefined;
   }
 
-  #keep(name: string, value: string | undefined): ParameterFault | undefined {
+  #setCustom(
+    name: string,
+    value: string | undefined,
+  ): ParameterFault | undefined {
     if (name.toLowerCase().startsWith('zinnia.')) {
       return {
         sqlstate: UNKNOWN_PARAMETER,
         message: `unknown parameter "${name}"; known are ${TOKEN_PARAMETER}, ${DEADLINE_PARAMETER} and ${PRIORITY_PARAMETER}`,
       };
     }
-    if (value === undefined) this.#kept.delete(name.toLowerCase());
-    else this.#kept.set(name.toLowerCase(), value);
+    if (value === undefined) this.#custom.delete(name.toLowerCase());
+    else this.#custom.set(name.toLowerCase(), value);
     return undefined;
   }
 }
--- a/src/callers/socket-reader.ts
+++ b/src/callers/socket-reader.ts
@@ -1,16 +1,14 @@
 /**
- * Reads exact byte counts from a caller's socket, with back-pressure: bytes
- * that nobody asked for stay in the socket, where a TLS upgrade needs them.
+ * Pull-based reader of protocol messages from a caller's socket. Unread bytes
+ * stay in the socket: that gives backpressure, and a TLS upgrade finds there
+ * the bytes that follow the SSLRequest.
  */
 import type {Duplex} from 'node:stream';
-import {
-  FRAME_HEADER_BYTES,
-  type Frame as WholeFrame,
-} from '../targets/frames.js';
+import {FRAME_HEADER_BYTES, type Frame as RawFrame} from '../targets/frames.js';
 
 const PROTOCOL_VIOLATION = '08P01';
 
-/** The caller sent something that is not the protocol. */
+/** The caller violated the protocol. */
 export class ProtocolError extends Error {
   constructor(
     message: string,
@@ -21,14 +19,14 @@
   }
 }
 
-/** One message, with its body apart from the header. */
-export interface Frame extends WholeFrame {
+/** A message, also with its body alone. */
+export interface Frame extends RawFrame {
   readonly body: Buffer;
 }
 
 const LENGTH_BYTES = 4;
 
-/** Pulls messages from a socket, one reader a connection. */
+/** Reads messages from a socket; a socket may have only one reader. */
 export class SocketReader {
   readonly #socket: Duplex;
   #ended = false;
@@ -47,14 +45,14 @@
     socket.on('error', end);
   }
 
-  /** Reads nothing any more, as if the connection had ended. */
+  /** Makes pending and later reads return undefined, as at a closed connection. */
   stop(): void {
     this.#stopped = true;
     this.#ended = true;
     this.#wake?.();
   }
 
-  /** Exactly `count` bytes; undefined if the connection ended before any. */
+  /** Reads exactly `count` bytes; undefined if the stream ends before the first. */
   async read(count: number): Promise<Buffer | undefined> {
     for (;;) {
       if (this.#stopped) return undefined;
@@ -69,7 +67,7 @@
     }
   }
 
-  /** A start-up packet: a length and a body, without a type byte. */
+  /** Reads the body of a start-up packet, which has no type byte. */
   async readStartup(maxBytes: number): Promise<Buffer | undefined> {
     const header = await this.read(LENGTH_BYTES);
     if (header === undefined) return undefined;
@@ -82,7 +80,7 @@
     return this.#body(length - LENGTH_BYTES);
   }
 
-  /** The next message; undefined at the end of the connection. */
+  /** Reads the next message; undefined if the connection has ended. */
   async readFrame(maxBytes: number): Promise<Frame | undefined> {
     const header = await this.read(FRAME_HEADER_BYTES);
     if (header === undefined) return undefined;
--- a/src/callers/startup.ts
+++ b/src/callers/startup.ts
@@ -1,4 +1,4 @@
-/** The start of a caller's connection: TLS, cancel requests and options. */
+/** Start-up phase of a connection: TLS upgrade, CancelRequest, parameters. */
 import type {Socket} from 'node:net';
 import {TLSSocket, type SecureContext} from 'node:tls';
 import {BodyReader} from './body-reader.js';
@@ -6,17 +6,17 @@
 
 const MAX_STARTUP_BYTES = 10_000;
 const PROTOCOL_MAJOR = 3;
-const CANCEL_CODE = 80877102;
-const TLS_CODE = 80877103;
-const GSS_CODE = 80877104;
+const CANCEL_REQUEST_CODE = 80877102;
+const SSL_REQUEST_CODE = 80877103;
+const GSSENC_REQUEST_CODE = 80877104;
 
-/** A request to stop another session's statement. */
+/** Backend key data: identifies the session that a CancelRequest is for. */
 export interface CancelKey {
   readonly processId: number;
   readonly secret: number;
 }
 
-/** What a connection turned out to want. */
+/** The outcome of the start-up phase. */
 export type Startup =
   | {readonly kind: 'closed'}
   | {readonly kind: 'cancel'; readonly key: CancelKey}
@@ -25,13 +25,13 @@
       readonly socket: Socket;
       readonly reader: SocketReader;
       readonly params: ReadonlyMap<string, string>;
-      /** Minor protocol version that was asked for; 3.0 is spoken. */
+      /** Requested minor version of protocol 3; the server supports only 0. */
       readonly minor: number;
     };
 
 /**
- * Reads start-up packets until the caller asks for a session or a cancel,
- * upgrading to TLS on request where a context is given.
+ * Reads start-up packets until a StartupMessage or CancelRequest. Upgrades to
+ * TLS on an SSLRequest if a context is given.
  */
 export async function readStartup(
   plain: Socket,
@@ -45,17 +45,20 @@
     if (packet === undefined) return {kind: 'closed'};
     const body = new BodyReader(packet);
     const code = body.int32();
-    if (code === CANCEL_CODE) {
+    if (code === CANCEL_REQUEST_CODE) {
       return {
         kind: 'cancel',
         key: {processId: body.int32(), secret: body.int32()},
       };
     }
-    if (code === GSS_CODE || (code === TLS_CODE && (!tls || encrypted))) {
+    if (
+      code === GSSENC_REQUEST_CODE ||
+      (code === SSL_REQUEST_CODE && (!tls || encrypted))
+    ) {
       socket.write('N');
       continue;
     }
-    if (code === TLS_CODE) {
+    if (code === SSL_REQUEST_CODE) {
       socket = upgrade(plain, tls);
       reader = new SocketReader(socket);
       encrypted = true;
@@ -93,23 +96,23 @@
 }
 
 /**
- * Reads `-c name=value` pairs of the start-up parameter `options`, with
- * backslash escapes, as PostgreSQL does.
+ * Parses the `-c name=value` and `--name=value` settings of the start-up
+ * parameter `options`, with backslash escapes, as PostgreSQL does.
  *
  * @example
  * parseOptions('-c zinnia.priority=urgent').get('zinnia.priority');
  */
 export function parseOptions(options: string): ReadonlyMap<string, string> {
   const words = options.match(/(?:\\.|[^\s\\])+/g) ?? [];
-  const plain = words.map(word => word.replace(/\\(.)/g, '$1'));
-  const found = new Map<string, string>();
-  for (let i = 0; i < plain.length; i++) {
-    const word = plain[i] ?? '';
+  const unescaped = words.map(word => word.replace(/\\(.)/g, '$1'));
+  const settings = new Map<string, string>();
+  for (let i = 0; i < unescaped.length; i++) {
+    const word = unescaped[i] ?? '';
     const setting =
-      word === '-c' ? (plain[++i] ?? '') : word.replace(/^-c|^--/, '');
+      word === '-c' ? (unescaped[++i] ?? '') : word.replace(/^-c|^--/, '');
     const equals = setting.indexOf('=');
     if (equals > 0)
-      found.set(setting.slice(0, equals), setting.slice(equals + 1));
+      settings.set(setting.slice(0, equals), setting.slice(equals + 1));
   }
-  return found;
+  return settings;
 }
--- a/src/callers/statement-runner.ts
+++ b/src/callers/statement-runner.ts
@@ -1,4 +1,4 @@
-/** Runs one batch for a session: class, admission, execution, answer. */
+/** Admits and executes a session's batches and tracks its transaction. */
 import {randomUUID} from 'node:crypto';
 import type {Admission} from '../admission/types.js';
 import {failedResult, type ExecResult} from '../home/types.js';
@@ -10,27 +10,27 @@
 import type {Authority, SessionDeps} from './types.js';
 import type {SessionParameters} from './session-parameters.js';
 
-/** A batch that the session wants to run on its group. */
+/** A batch to run on the session's database group. */
 export interface RunRequest {
   readonly frames: Uint8Array;
   readonly classification: Classification;
-  /** Statements that it executes, for the team's rate. */
+  /** Number of executed statements, which count against the team's rate. */
   readonly statements: number;
   readonly arrivedAt: number;
   readonly sink: (frames: Uint8Array) => void | Promise<void>;
   readonly signal: AbortSignal;
 }
 
-/** The part of a session that reaches the group: its open transaction. */
+/** Runs batches on the session's group and holds its transaction state. */
 export class StatementRunner {
-  /** Names the session over the whole fleet. */
+  /** Unique among all sessions at all nodes. */
   readonly sessionId = randomUUID();
   readonly #deps: SessionDeps;
   readonly #authority: Authority;
   readonly #parameters: SessionParameters;
   #pin: string | undefined;
   #transaction: TransactionStatus = 'idle';
-  #isBroken = false;
+  #isAborted = false;
 
   constructor(
     deps: SessionDeps,
@@ -47,14 +47,14 @@
   }
 
   /**
-   * Whether the transaction was rolled back before the caller ended it. Its
-   * remaining statements must not run outside it.
+   * True if the transaction was rolled back before the caller ended it. Until
+   * then its remaining statements are refused: they must not run outside it.
    */
-  get isBroken(): boolean {
-    return this.#isBroken;
+  get isAborted(): boolean {
+    return this.#isAborted;
   }
 
-  /** Runs a batch; every failure is in the result's verdict. */
+  /** Runs a batch; a failure is returned as the verdict of the result. */
   async run(req: RunRequest): Promise<ExecResult> {
     const wasOpen = this.#transaction !== 'idle';
     const kind = this.#kindOf(req.classification);
@@ -63,37 +63,41 @@
     this.#transaction = result.transaction;
     this.#pin = result.pin;
     const isLost = wasOpen && result.pin === undefined;
-    if (isLost && result.verdict.kind !== 'done' && !hasEnd(req)) {
-      this.breakTransaction();
+    if (
+      isLost &&
+      result.verdict.kind !== 'done' &&
+      !includesTransactionEnd(req)
+    ) {
+      this.abortTransaction();
     }
     if (result.position !== undefined) {
-      this.#remember(result.position, kind);
+      this.#updateToken(result.position, kind);
     }
     this.#observe(req, sampleKind, result);
     return result;
   }
 
-  /** Rolls an open transaction back and keeps it failed until its end. */
-  breakTransaction(): void {
-    this.abandon();
-    this.#isBroken = true;
+  /** Rolls back an open transaction; it stays `failed` until the caller ends it. */
+  abortTransaction(): void {
+    this.releaseTransaction();
+    this.#isAborted = true;
     this.#transaction = 'failed';
   }
 
-  /** Forgets a broken transaction at the caller's COMMIT or ROLLBACK. */
-  endBroken(): void {
-    this.#isBroken = false;
+  /** Ends an aborted transaction at the caller's COMMIT or ROLLBACK. */
+  clearAborted(): void {
+    this.#isAborted = false;
     this.#transaction = 'idle';
   }
 
-  /** Rolls back whatever the session left open. */
-  abandon(): void {
+  /** Requests the rollback of the transaction at its home, if one is open. */
+  releaseTransaction(): void {
     if (this.#pin === undefined) return;
     this.#deps.executor.release(this.#authority.group, this.#pin);
     this.#pin = undefined;
   }
 
-  /** Asks the database to stop the running statement. */
+  /** Cancels the session's running statement. */
   cancel(): void {
     this.#deps.executor.cancel(this.#authority.group, this.sessionId);
   }
@@ -129,15 +133,15 @@
   }
 
   /**
-   * Counts the batch against the team's rate. A BEGIN pays for its own end as
-   * well, so that no COMMIT or ROLLBACK is ever refused.
+   * Takes tokens for the batch from the team's rate. A BEGIN costs one more,
+   * for the end of its transaction: COMMIT and ROLLBACK are never refused.
    */
   async #admit(
     req: RunRequest,
     deadlineAt: number,
   ): Promise<NotRun | undefined> {
     const cost = admissionCost(req, this.#transaction);
-    for (let paid = 0; paid < cost; paid++) {
+    for (let taken = 0; taken < cost; taken++) {
       const admission = await this.#deps.admission.admit(
         this.#authority.team,
         deadlineAt,
@@ -156,17 +160,17 @@
 
   #commits({statements}: Classification): boolean {
     if (this.#transaction === 'idle') return true;
-    // A batch may execute a portal that an earlier one has bound.
+    // The batch may execute a portal bound by an earlier one.
     if (statements.length === 0) return true;
     return statements.some(({kind}) => kind === 'commit');
   }
 
   /**
-   * The token follows what the session wrote. What a read saw counts only for
-   * a session of whose past nothing was known: each read at the primary would
-   * otherwise keep the session there for as long as others write.
+   * Advances the session token to the position of a write. The position of a
+   * read is stored only if the token has none for the group: otherwise each
+   * read at the primary would keep the session there while others write.
    */
-  #remember(position: Position, kind: 'read' | 'write'): void {
+  #updateToken(position: Position, kind: 'read' | 'write'): void {
     const {group} = this.#authority;
     if (kind === 'read' && this.#parameters.token.at(group)) return;
     this.#parameters.token = this.#parameters.token.with(group, position);
@@ -212,7 +216,7 @@
   return countStatements(req) + begins;
 }
 
-/** A batch that only describes counts as one. */
+/** A batch without Execute, such as one with only Describe, counts as one. */
 function countStatements({statements}: RunRequest): number {
   return Math.max(1, statements);
 }
@@ -221,7 +225,7 @@
   return kind === 'commit' || kind === 'rollback';
 }
 
-/** Whether a batch would have ended the transaction itself. */
-function hasEnd({classification}: RunRequest): boolean {
+/** True if a batch includes a COMMIT or ROLLBACK. */
+function includesTransactionEnd({classification}: RunRequest): boolean {
   return classification.statements.some(endsTransaction);
 }
--- a/src/callers/types.ts
+++ b/src/callers/types.ts
@@ -1,4 +1,4 @@
-/** What a caller's session needs of the rest of the node. */
+/** Interfaces through which a caller's session uses the rest of the node. */
 import type {Admission} from '../admission/types.js';
 import type {GroupExecutor, Priority} from '../home/types.js';
 import type {Clock} from '../infra/clock.js';
@@ -8,11 +8,11 @@
 import type {StatementSample} from '../telemetry/metrics.js';
 import type {NotRun} from '../verdict/verdict.js';
 
-/** Who a session is and what it may reach. */
+/** The team and database group for which a session was authenticated. */
 export interface Authority {
   readonly team: string;
   readonly group: string;
-  /** The key's id; undefined on a route that is open to all. */
+  /** The key's id; undefined on a route that needs no key. */
   readonly keyId: string | undefined;
 }
 
@@ -21,36 +21,36 @@
   | {readonly kind: 'accepted'; readonly authority: Authority}
   | {readonly kind: 'refused'; readonly verdict: NotRun};
 
-/** How a database name is reached. */
+/** Whether a database name can be reached, and whether a key is needed. */
 export type RouteAccess =
   | {readonly kind: 'keyed'}
   | {readonly kind: 'open'}
   | {readonly kind: 'refused'; readonly verdict: NotRun};
 
-/** The table's rules for one team on one group. */
+/** Configured rules for one team on one group. */
 export interface SessionRules {
-  /** How old the data of a read may be; 0 reads at the primary. */
+  /** Maximum staleness of a read in milliseconds; 0 reads at the primary. */
   readonly staleMs: number;
-  /** The class of a statement, given what the session asked for. */
+  /** The scheduling class of a statement; `wanted` is the session's request. */
   priority(kind: 'read' | 'write', wanted: Priority | undefined): Priority;
 }
 
-/** Checks callers against the configuration in force. */
+/** Checks callers against the current configuration. */
 export interface AccessPort {
   route(database: string): RouteAccess;
   authenticate(team: string, database: string, key: string): AuthOutcome;
   openAuthority(database: string): Authority;
-  /** Why the session may not run anything now; undefined if it may. */
+  /** The refusal if the session has lost its access; undefined if it has not. */
   recheck(authority: Authority): NotRun | undefined;
   rules(authority: Authority): SessionRules;
 }
 
-/** Counts statements against a team's rate and burst. */
+/** Rate-limits statements by their team's rate and burst. */
 export interface AdmissionPort {
   admit(team: string, deadlineMs: number): Promise<Admission>;
 }
 
-/** Everything that a session is built from. */
+/** Dependencies of a session. */
 export interface SessionDeps {
   readonly access: AccessPort;
   readonly admission: AdmissionPort;
--- a/src/targets/answer-reader.ts
+++ b/src/targets/answer-reader.ts
@@ -1,6 +1,6 @@
-/** Passes one batch's answer on to its observer. */
+/** Streams a database's answer to one batch to its observer. */
 import {parsePosition, type Position} from '../session/position.js';
-import {readStrings, type Frame} from './frames.js';
+import {readCStrings, type Frame} from './frames.js';
 import {
   TargetError,
   type AnswerObserver,
@@ -8,10 +8,10 @@
   type TransactionStatus,
 } from './types.js';
 
-/** The parameter in which a database reports its log position. */
+/** The ParameterStatus with which a database reports its log position. */
 export const POSITION_PARAMETER = 'platform.position';
 
-/** Hands the frames of one answer to its observer in contiguous runs. */
+/** Passes the frames of an answer to its observer, joined where contiguous. */
 export class AnswerReader {
   readonly #observer: AnswerObserver;
   #pending: Buffer | undefined;
@@ -23,17 +23,21 @@
     this.#observer = observer;
   }
 
-  /** Takes the next frame; rejects if the observer abandons the answer. */
+  /**
+   * Adds the next frame. ParameterStatus is consumed here and not passed on.
+   *
+   * @throws TargetError `lost` if the observer abandons the answer
+   */
   async accept(frame: Frame): Promise<void> {
     if (frame.type === 'S') return this.#readParameter(frame);
     if (frame.type === 'E') this.#failed = true;
     if (!this.#started) this.#start();
-    const joined = joinAdjacent(this.#pending, frame.bytes);
+    const joined = extendContiguous(this.#pending, frame.bytes);
     if (joined === undefined) await this.flush();
     this.#pending = joined ?? frame.bytes;
   }
 
-  /** Hands on the frames held back and waits until they are taken. */
+  /** Passes on the pending frames and waits for the observer. */
   async flush(): Promise<void> {
     const frames = this.#pending;
     if (frames === undefined) return;
@@ -41,7 +45,7 @@
     await this.#observer.onFrames(frames);
   }
 
-  /** How the batch ended. */
+  /** Returns the batch's outcome, given the status in its ReadyForQuery. */
   end(transaction: TransactionStatus): BatchEnd {
     return {transaction, position: this.#position, failed: this.#failed};
   }
@@ -54,14 +58,17 @@
   }
 
   #readParameter(frame: Frame): void {
-    const [name, value] = readStrings(frame.bytes);
+    const [name, value] = readCStrings(frame.bytes);
     if (name !== POSITION_PARAMETER) return;
     this.#position = parsePosition(value ?? '') ?? this.#position;
   }
 }
 
-/** Extends a run by a frame that follows it in the same memory. */
-function joinAdjacent(
+/**
+ * Joins frames without a copy; undefined if `next` does not directly follow
+ * `run` in the same buffer.
+ */
+function extendContiguous(
   run: Buffer | undefined,
   next: Buffer,
 ): Buffer | undefined {
--- a/src/targets/connection-set.ts
+++ b/src/targets/connection-set.ts
@@ -1,14 +1,14 @@
-/** A few connections to one database, opened on demand and kept for reuse. */
+/** A small pool of connections to one database, opened on demand. */
 import {TargetError, type TargetConnection} from './types.js';
 
-/** Opens a connection within a time. */
+/** Opens a connection, or rejects after `timeoutMs`. */
 export type OpenConnection = (timeoutMs: number) => Promise<TargetConnection>;
 
 /**
- * Runs tasks on at most `limit` connections, first come first served.
+ * Runs tasks on at most `limit` connections, in the order of their calls.
  *
- * A connection on which a task ran out of time is closed: a silent connection
- * would otherwise hold every later task up.
+ * A connection on which a task timed out is closed: otherwise a connection
+ * that no longer answers would block all later tasks.
  */
 export class ConnectionSet {
   readonly #open: OpenConnection;
@@ -16,14 +16,14 @@
   readonly #idle: TargetConnection[] = [];
   readonly #busy = new Set<TargetConnection>();
   readonly #queue: (() => void)[] = [];
-  #used = 0;
+  #acquired = 0;
 
   constructor(limit: number, open: OpenConnection) {
     this.#limit = limit;
     this.#open = open;
   }
 
-  /** Runs a task; all of waiting, connecting and running takes `timeoutMs`. */
+  /** Runs a task; `timeoutMs` includes waiting for a connection and opening it. */
   async run<T>(
     timeoutMs: number,
     task: (connection: TargetConnection, remainingMs: number) => Promise<T>,
@@ -33,19 +33,19 @@
     await this.#acquire(timeoutMs);
     try {
       const connection = await this.#connect(remainingMs());
-      return await this.#use(connection, remainingMs(), task);
+      return await this.#runTask(connection, remainingMs(), task);
     } finally {
       this.#release();
     }
   }
 
-  /** Closes every connection; tasks under way reject. */
+  /** Closes all connections; running tasks reject. */
   close(): void {
     for (const connection of [...this.#idle, ...this.#busy]) connection.close();
     this.#idle.length = 0;
   }
 
-  async #use<T>(
+  async #runTask<T>(
     connection: TargetConnection,
     timeoutMs: number,
     task: (connection: TargetConnection, remainingMs: number) => Promise<T>,
@@ -80,8 +80,8 @@
   }
 
   #acquire(timeoutMs: number): Promise<void> {
-    if (this.#used < this.#limit) {
-      this.#used++;
+    if (this.#acquired < this.#limit) {
+      this.#acquired++;
       return Promise.resolve();
     }
     return new Promise((resolve, reject) => {
@@ -104,7 +104,7 @@
 
   #release(): void {
     const next = this.#queue.shift();
-    if (next === undefined) this.#used--;
+    if (next === undefined) this.#acquired--;
     else next();
   }
 }
--- a/src/targets/database-control.ts
+++ b/src/targets/database-control.ts
@@ -1,4 +1,4 @@
-/** The control side of a database over its SQL control functions. */
+/** Control client of a database: calls its `platform.*` SQL functions. */
 import type {
   ConfirmResult,
   DatabaseControl,
@@ -16,19 +16,19 @@
 import {queryRows, type TextRow} from './query-rows.js';
 import {TargetError} from './types.js';
 
-/** The database name whose connections may use the control functions. */
+/** Database name that gives a connection access to the control functions. */
 const CONTROL_DATABASE = 'platform';
 
 /** Status, fence and promote share one connection. */
-const ORDER_CONNECTIONS = 1;
+const COMMAND_CONNECTIONS = 1;
 
-/** Confirmations wait on the database, so each holds a connection. */
+/** A confirmation blocks its connection while the database waits. */
 const DEFAULT_CONFIRM_CONNECTIONS = 2;
 
-/** The share of a timeout that the database itself may wait. */
+/** Part of a timeout that the database may wait; the rest is for the reply. */
 const DATABASE_WAIT_SHARE = 0.8;
 
-/** The node's own credentials at the databases. */
+/** Credentials with which the node logs in to the databases. */
 export interface ControlCredentials {
   readonly user: string;
   readonly password: string;
@@ -36,12 +36,12 @@
 
 /** Settings of a control client. */
 export interface PgDatabaseControlOptions extends ControlCredentials {
-  /** Confirmations at the same time; further ones wait. */
+  /** Maximum number of concurrent confirmations; further ones queue. */
   readonly confirmConnections?: number;
 }
 
 /**
- * Controls one database over the PostgreSQL protocol.
+ * Queries, fences and promotes one database over the PostgreSQL protocol.
  *
  * @example
  * const control = new PgDatabaseControl(spec, {user, password});
@@ -49,8 +49,8 @@
  */
 export class PgDatabaseControl implements DatabaseControl {
   readonly spec: DatabaseSpec;
-  readonly #orders: ConnectionSet;
-  readonly #confirms: ConnectionSet;
+  readonly #commandConnections: ConnectionSet;
+  readonly #confirmConnections: ConnectionSet;
 
   constructor(spec: DatabaseSpec, options: PgDatabaseControlOptions) {
     this.spec = spec;
@@ -64,8 +64,8 @@
         database: CONTROL_DATABASE,
         timeoutMs,
       });
-    this.#orders = new ConnectionSet(ORDER_CONNECTIONS, open);
-    this.#confirms = new ConnectionSet(
+    this.#commandConnections = new ConnectionSet(COMMAND_CONNECTIONS, open);
+    this.#confirmConnections = new ConnectionSet(
       options.confirmConnections ?? DEFAULT_CONFIRM_CONNECTIONS,
       open,
     );
@@ -104,11 +104,14 @@
     position: Position,
     timeoutMs: number,
   ): Promise<ConfirmResult> {
-    const row = await this.#confirms.run(timeoutMs, (connection, remaining) => {
-      const waitMs = Math.floor(remaining * DATABASE_WAIT_SHARE);
-      const sql = `SELECT platform.confirm(${term}, '${formatPosition(position)}', ${waitMs})`;
-      return queryRows(connection, sql).then(firstRow);
-    });
+    const row = await this.#confirmConnections.run(
+      timeoutMs,
+      (connection, remaining) => {
+        const waitMs = Math.floor(remaining * DATABASE_WAIT_SHARE);
+        const sql = `SELECT platform.confirm(${term}, '${formatPosition(position)}', ${waitMs})`;
+        return queryRows(connection, sql).then(firstRow);
+      },
+    );
     const detail = row['detail'] ?? '';
     if (row['result'] === 'fenced') {
       return {kind: 'fenced', fencedTerm: Number(detail)};
@@ -117,14 +120,14 @@
     return {kind, received: readPosition(detail)};
   }
 
-  /** Closes the connections; calls under way reject. */
+  /** Closes the connections; calls in progress reject. */
   close(): void {
-    this.#orders.close();
-    this.#confirms.close();
+    this.#commandConnections.close();
+    this.#confirmConnections.close();
   }
 
   #order(sql: string, timeoutMs: number): Promise<TextRow> {
-    return this.#orders.run(timeoutMs, connection =>
+    return this.#commandConnections.run(timeoutMs, connection =>
       queryRows(connection, sql).then(firstRow),
     );
   }
--- a/src/targets/frames.ts
+++ b/src/targets/frames.ts
@@ -1,30 +1,31 @@
 /**
- * Length-bounded splitting of PostgreSQL protocol v3 messages into frames, and
- * small helpers to build and read them.
+ * Splits a byte stream into PostgreSQL protocol v3 frames of limited length,
+ * and builds and parses single frames.
  *
- * A frame is one type byte, a 32-bit length that counts itself, and the body.
+ * A frame is a whole message: a type byte, a 32-bit length that includes
+ * itself, and the body.
  */
 
-/** The largest frame accepted unless a caller sets another bound. */
+/** Default limit for the length of a received frame. */
 export const DEFAULT_MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-/** Bytes of a frame before its body. */
+/** Length of the type byte and the length field. */
 export const FRAME_HEADER_BYTES = 5;
 
 const LENGTH_FIELD_BYTES = 4;
 
-/** One whole frame. */
+/** A whole frame. */
 export interface Frame {
   /** The type byte as a character; empty for an untyped start-up frame. */
   readonly type: string;
-  /** The whole frame, with its type byte and length. */
+  /** The whole frame, including its type byte and length field. */
   readonly bytes: Buffer;
 }
 
-/** Why a byte stream could not be split into frames. */
+/** The reason for which a byte stream can't be split into frames. */
 export type FrameErrorKind = 'oversized' | 'malformed' | 'truncated';
 
-/** A byte stream that is not a sequence of acceptable frames. */
+/** The byte stream is not a sequence of valid frames within the limit. */
 export class FrameError extends Error {
   constructor(
     readonly kind: FrameErrorKind,
@@ -36,8 +37,8 @@
 }
 
 /**
- * Splits chunks of a byte stream into frames. Memory is bounded by one frame
- * and one chunk, since the next chunk is read only when a frame needs it.
+ * Splits the chunks of a byte stream into frames. Buffers at most one frame
+ * and one chunk, since it reads a chunk only when the next frame needs it.
  *
  * @example
  * for await (const frame of new FrameReader(socket)) handle(frame.type);
@@ -55,19 +56,19 @@
     this.#maxFrameBytes = maxFrameBytes;
   }
 
-  /** The next frame; undefined at an end of stream between frames. */
+  /** Reads the next frame; undefined if the stream ends before it. */
   async next(): Promise<Frame | undefined> {
-    return this.take() ?? (await this.#read(1));
+    return this.nextBuffered() ?? (await this.#read(1));
   }
 
-  /** The next frame if all of it has arrived. */
-  take(): Frame | undefined {
-    return this.#take(1);
+  /** Returns the next frame if all of it is buffered. */
+  nextBuffered(): Frame | undefined {
+    return this.#takeBuffered(1);
   }
 
-  /** The next frame without a type byte, as sent before authentication. */
+  /** Reads a frame without a type byte, as a client sends before log-in. */
   async nextUntyped(): Promise<Frame | undefined> {
-    return this.#take(0) ?? (await this.#read(0));
+    return this.#takeBuffered(0) ?? (await this.#read(0));
   }
 
   async *[Symbol.asyncIterator](): AsyncGenerator<Frame, void, void> {
@@ -78,8 +79,8 @@
     }
   }
 
-  /** The whole frame's size, or undefined while its header is incomplete. */
-  #frameBytes(typeBytes: number): number | undefined {
+  /** Size of the next frame; undefined while its header is incomplete. */
+  #frameSize(typeBytes: number): number | undefined {
     if (this.#buffered.length < typeBytes + LENGTH_FIELD_BYTES)
       return undefined;
     const length = this.#buffered.readInt32BE(typeBytes);
@@ -98,8 +99,8 @@
     return length + typeBytes;
   }
 
-  #take(typeBytes: number): Frame | undefined {
-    const size = this.#frameBytes(typeBytes);
+  #takeBuffered(typeBytes: number): Frame | undefined {
+    const size = this.#frameSize(typeBytes);
     if (size === undefined || size > this.#buffered.length) return undefined;
     const bytes = this.#buffered.subarray(0, size);
     this.#buffered = this.#buffered.subarray(size);
@@ -108,11 +109,11 @@
   }
 
   async #read(typeBytes: number): Promise<Frame | undefined> {
-    // Chunks are joined once a frame is whole, not at each arrival: a large
-    // frame would otherwise be copied as often as it has chunks.
+    // Joins the chunks only when the frame is complete: joining at each arrival
+    // would copy a large frame once per chunk.
     const parts: Uint8Array[] = [this.#buffered];
     let length = this.#buffered.length;
-    let needed = this.#frameBytes(typeBytes);
+    let needed = this.#frameSize(typeBytes);
     for (;;) {
       const chunk = await this.#chunks.next();
       if (chunk.done) break;
@@ -121,9 +122,9 @@
       if (needed !== undefined && length < needed) continue;
       this.#buffered = joinChunks(parts, length);
       parts.splice(0, parts.length, this.#buffered);
-      const frame = this.#take(typeBytes);
+      const frame = this.#takeBuffered(typeBytes);
       if (frame !== undefined) return frame;
-      needed = this.#frameBytes(typeBytes);
+      needed = this.#frameSize(typeBytes);
     }
     if (length === 0) return undefined;
     throw new FrameError(
@@ -134,7 +135,7 @@
 }
 
 /**
- * Walks over whole frames that lie one behind another.
+ * Iterates over the frames in a buffer that holds only whole frames.
  *
  * @example
  * for (const {type} of splitFrames(answer)) types.push(type);
@@ -159,7 +160,7 @@
   return Buffer.concat(filled, length);
 }
 
-/** The fields of an ErrorResponse or NoticeResponse that callers act on. */
+/** The fields of an ErrorResponse or NoticeResponse that the proxy uses. */
 export interface ErrorFields {
   readonly severity: string;
   readonly code: string;
@@ -168,10 +169,10 @@
   readonly hint: string | undefined;
 }
 
-/** Reads an ErrorResponse or NoticeResponse frame. */
+/** Parses an ErrorResponse or NoticeResponse frame. */
 export function readErrorFields(frame: Uint8Array): ErrorFields {
   const fields = new Map<string, string>();
-  for (const text of readStrings(frame)) {
+  for (const text of readCStrings(frame)) {
     if (text !== '') fields.set(text.charAt(0), text.slice(1));
   }
   return {
@@ -183,8 +184,8 @@
   };
 }
 
-/** Reads the NUL-terminated strings of a frame's body, as in ParameterStatus. */
-export function readStrings(frame: Uint8Array): readonly string[] {
+/** Parses a body of NUL-terminated strings, such as a ParameterStatus. */
+export function readCStrings(frame: Uint8Array): readonly string[] {
   const body = Buffer.from(frame.buffer, frame.byteOffset, frame.byteLength);
   const strings = body.toString('utf8', FRAME_HEADER_BYTES).split('\0');
   strings.pop();
@@ -205,19 +206,19 @@
   return Buffer.concat([header, ...parts]);
 }
 
-/** A NUL-terminated string as protocol messages hold it. */
+/** Encodes a NUL-terminated string. */
 export function cString(text: string): Buffer {
   return Buffer.from(`${text}\0`, 'utf8');
 }
 
-/** A 16-bit integer in network order. */
+/** Encodes a 16-bit integer in network byte order. */
 export function int16(value: number): Buffer {
   const bytes = Buffer.alloc(2);
   bytes.writeInt16BE(value);
   return bytes;
 }
 
-/** A 32-bit integer in network order. */
+/** Encodes a 32-bit integer in network byte order. */
 export function int32(value: number): Buffer {
   const bytes = Buffer.alloc(4);
   bytes.writeInt32BE(value);
--- a/src/targets/pg-connection.ts
+++ b/src/targets/pg-connection.ts
@@ -1,4 +1,4 @@
-/** A connection to a database over the PostgreSQL wire protocol. */
+/** Client connection to a database over the PostgreSQL protocol v3. */
 import {once} from 'node:events';
 import net from 'node:net';
 import {serialize} from 'pg-protocol';
@@ -18,14 +18,14 @@
   type TransactionStatus,
 } from './types.js';
 
-/** Where and how to connect. */
+/** Address, credentials and limits of a connection. */
 export interface PgTargetOptions {
   readonly host: string;
   readonly port: number;
   readonly user: string;
   readonly password: string;
   readonly database: string;
-  /** Bounds the whole of connecting, and each cancel request. */
+  /** Timeout of connecting with authentication, and of a cancel request. */
   readonly timeoutMs: number;
   readonly maxFrameBytes?: number;
 }
@@ -36,10 +36,10 @@
 /** CopyInResponse, CopyOutResponse and CopyBothResponse. */
 const COPY_TYPES: ReadonlySet<string> = new Set(['G', 'H', 'W']);
 
-/** Frames that a database may send at any time: notices and parameters. */
+/** NoticeResponse, ParameterStatus, NotificationResponse: sent at any time. */
 const ASYNC_TYPES: ReadonlySet<string> = new Set(['N', 'S', 'A']);
 
-/** The secret that a cancel request must name. */
+/** Backend key data, which a CancelRequest must contain. */
 interface BackendKey {
   readonly processId: number;
   readonly secretKey: number;
@@ -60,8 +60,8 @@
   #transaction: TransactionStatus = 'idle';
   #running = false;
   #closed = false;
-  /** The read in progress while idle, which notices a closed connection. */
-  #ahead: Promise<Frame | undefined> | undefined;
+  /** The pending read of an idle connection, which detects that it was closed. */
+  #idleRead: Promise<Frame | undefined> | undefined;
 
   private constructor(socket: net.Socket, options: PgTargetOptions) {
     this.#socket = socket;
@@ -77,9 +77,9 @@
   static async connect(options: PgTargetOptions): Promise<PgTargetConnection> {
     const socket = net.connect({host: options.host, port: options.port});
     socket.setNoDelay(true);
-    // Errors reach the reader; this listener keeps late ones from being thrown.
+    // The reader reports errors; without a listener a late one would be thrown.
     socket.on('error', () => {});
-    const place = `${options.host}:${options.port}`;
+    const endpoint = `${options.host}:${options.port}`;
     const timer = setTimeout(
       () => socket.destroy(new Error(`no answer in ${options.timeoutMs} ms`)),
       options.timeoutMs,
@@ -94,7 +94,7 @@
       if (err instanceof TargetError) throw err;
       throw new TargetError(
         'notSent',
-        `cannot connect to ${place}: ${describeError(err)}`,
+        `cannot connect to ${endpoint}: ${describeError(err)}`,
       );
     } finally {
       clearTimeout(timer);
@@ -198,10 +198,11 @@
   async #readAnswer(observer: AnswerObserver): Promise<BatchEnd> {
     const answer = new AnswerReader(observer);
     for (;;) {
-      const frame = this.#reader.take() ?? (await this.#nextFrame(answer));
+      const frame =
+        this.#reader.nextBuffered() ?? (await this.#nextFrame(answer));
       if (frame.type === 'Z') {
         await answer.flush();
-        this.#transaction = transactionStatus(frame);
+        this.#transaction = readTransactionStatus(frame);
         return answer.end(this.#transaction);
       }
       if (COPY_TYPES.has(frame.type)) {
@@ -214,14 +215,14 @@
     }
   }
 
-  /** Hands on what has arrived before it waits for more. */
+  /** Flushes the frames received so far, then waits for the next one. */
   async #nextFrame(answer: AnswerReader): Promise<Frame> {
     await answer.flush();
-    const ahead = this.#ahead;
-    this.#ahead = undefined;
+    const idleRead = this.#idleRead;
+    this.#idleRead = undefined;
     let frame: Frame | undefined;
     try {
-      frame = await (ahead ?? this.#reader.next());
+      frame = await (idleRead ?? this.#reader.next());
     } catch (err) {
       throw new TargetError('lost', describeError(err));
     }
@@ -230,8 +231,8 @@
   }
 
   #watchIdle(): void {
-    this.#ahead = this.#reader.next();
-    this.#ahead.then(
+    this.#idleRead = this.#reader.next();
+    this.#idleRead.then(
       frame => {
         if (this.#running) return;
         if (frame === undefined || !ASYNC_TYPES.has(frame.type)) this.close();
@@ -241,7 +242,7 @@
   }
 }
 
-function transactionStatus(frame: Frame): TransactionStatus {
+function readTransactionStatus(frame: Frame): TransactionStatus {
   switch (String.fromCharCode(frame.bytes[5] ?? 0)) {
     case 'T':
       return 'open';
--- a/src/targets/query-rows.ts
+++ b/src/targets/query-rows.ts
@@ -1,4 +1,4 @@
-/** Runs one simple query and gathers its rows. */
+/** Runs a simple query and collects its rows. */
 import {serialize} from 'pg-protocol';
 import {
   FRAME_HEADER_BYTES,
@@ -8,7 +8,7 @@
 } from './frames.js';
 import {TargetError, type TargetConnection} from './types.js';
 
-/** A row by its columns' names; null stands for SQL's null. */
+/** A row's text values by column name; null is SQL NULL. */
 export type TextRow = Readonly<Record<string, string | null>>;
 
 const FIELD_COUNT_OFFSET = FRAME_HEADER_BYTES;
@@ -19,8 +19,9 @@
 const NULL_LENGTH = -1;
 
 /**
- * Runs a query whose answer is small. An ErrorResponse rejects with a
- * `TargetError` of kind `refused` that carries the SQLSTATE.
+ * Runs a simple query with a small result, which is held in memory.
+ *
+ * @throws TargetError `refused` with the SQLSTATE of an ErrorResponse
  *
  * @example
  * const [row] = await queryRows(connection, 'SELECT current_user');
@@ -36,7 +37,7 @@
   return readRows(Buffer.concat(chunks));
 }
 
-/** The names of the columns in a RowDescription frame. */
+/** Returns the column names of a RowDescription frame. */
 export function readColumns(frame: Buffer): readonly string[] {
   const names: string[] = [];
   const count = frame.readInt16BE(FIELD_COUNT_OFFSET);
@@ -49,7 +50,7 @@
   return names;
 }
 
-/** The values of a DataRow frame in their text format. */
+/** Returns the values of a DataRow frame in text format. */
 export function readValues(frame: Buffer): readonly (string | null)[] {
   const values: (string | null)[] = [];
   const count = frame.readInt16BE(FIELD_COUNT_OFFSET);
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -1,7 +1,10 @@
-/** The port to one database connection. */
+/** Interface of a database connection that uses the PostgreSQL protocol. */
 import type {Position} from '../session/position.js';
 
-/** How a target call failed: `notSent` is known not to have reached it. */
+/**
+ * `notSent`: the call did not reach the database; `lost`: it may have run and
+ * its outcome is unknown; `refused`: the database returned an error.
+ */
 export type TargetFailureKind = 'notSent' | 'lost' | 'refused';
 
 /** A failed call to a database. */
@@ -9,7 +12,7 @@
   constructor(
     readonly kind: TargetFailureKind,
     message: string,
-    /** The database's own SQLSTATE where it sent one. */
+    /** The error code that the database sent, if any; in PostgreSQL an SQLSTATE. */
     readonly code?: string,
   ) {
     super(message);
@@ -17,40 +20,40 @@
   }
 }
 
-/** Transaction status as ReadyForQuery reports it. */
+/** Transaction status of a session, as in ReadyForQuery. */
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
-/** How a batch ended. */
+/** The outcome of a batch. */
 export interface BatchEnd {
   readonly transaction: TransactionStatus;
-  /** The log position that the database reported with this batch, if any. */
+  /** The log position that the database reported with the answer, if any. */
   readonly position: Position | undefined;
-  /** Whether the batch was answered by an ErrorResponse. */
+  /** True if the answer included an ErrorResponse. */
   readonly failed: boolean;
 }
 
-/** Observes an answer as it arrives. */
+/** Receives an answer while it arrives. */
 export interface AnswerObserver {
   /**
-   * Called once before the first frame of the answer, with the position at
-   * which the database runs the batch; returning false abandons the answer.
+   * Called once before the first frame, with the log position at which the
+   * database runs the batch. Return false to abandon the answer.
    */
   onStart?(position: Position | undefined): boolean;
-  /** Called with whole frames, in order; ReadyForQuery is not passed on. */
+  /** Called with whole frames in order, without ReadyForQuery. */
   onFrames(frames: Uint8Array): void | Promise<void>;
 }
 
-/** One connection to a database, used for one batch at a time. */
+/** A connection to a database that runs one batch at a time. */
 export interface TargetConnection {
-  /** False once closed or once an answer was abandoned. */
+  /** False after the connection was closed, also by an abandoned answer. */
   readonly usable: boolean;
   readonly transaction: TransactionStatus;
   /**
-   * Sends a batch of frontend frames that ends in Sync or is one Query, and
-   * streams the answer up to ReadyForQuery.
+   * Sends frontend frames, either one Query or a batch that ends with Sync, and
+   * streams the answer to the observer until ReadyForQuery.
    */
   run(frames: Uint8Array, observer: AnswerObserver): Promise<BatchEnd>;
-  /** Asks the database to stop what this connection runs. */
+  /** Sends a CancelRequest for the batch that this connection runs. */
   cancel(): Promise<void>;
   close(): void;
 }
