--- a/test/callers/bad-input.test.ts
+++ b/test/callers/bad-input.test.ts
@@ -8,8 +8,8 @@
 const RUNS = 150;
 const OVERSIZED_BYTES = 0x7fffffff;
 
-/** A message with a length that need not fit its body. */
-function frameOf(type: number, length: number, body: Uint8Array): Buffer {
+/** Builds a message whose length field may not match its body. */
+function buildMessage(type: number, length: number, body: Uint8Array): Buffer {
   const header = Buffer.alloc(5);
   header.writeUInt8(type, 0);
   header.writeInt32BE(length, 1);
@@ -20,55 +20,60 @@
 const knownType = fc
   .constantFrom(...'QPBDECSHFXpdcf')
   .map(type => type.charCodeAt(0));
-const framed = fc
+const validMessage = fc
   .tuple(fc.oneof(knownType, fc.integer({min: 0, max: 255})), body)
-  .map(([type, bytes]) => frameOf(type, bytes.length + 4, bytes));
-const misframed = fc
+  .map(([type, bytes]) => buildMessage(type, bytes.length + 4, bytes));
+const wrongLengthMessage = fc
   .tuple(knownType, fc.integer(), body)
-  .map(([type, length, bytes]) => frameOf(type, length, bytes));
-const truncated = fc
-  .tuple(framed, fc.nat())
+  .map(([type, length, bytes]) => buildMessage(type, length, bytes));
+const truncatedMessage = fc
+  .tuple(validMessage, fc.nat())
   .map(([bytes, cut]) => bytes.subarray(0, cut % bytes.length));
-const input = fc.array(fc.oneof(framed, misframed, truncated, body), {
-  minLength: 1,
-  maxLength: 4,
-});
+const input = fc.array(
+  fc.oneof(validMessage, wrongLengthMessage, truncatedMessage, body),
+  {
+    minLength: 1,
+    maxLength: 4,
+  },
+);
 
 describe('bad input', () => {
   const harness = useHarness();
-  let witness: TestClient;
+  let otherClient: TestClient;
   beforeAll(async () => {
     await harness.connect().then(client => client.query('SELECT 1'));
   });
 
-  /** Sends bytes and waits until the server is done with the connection. */
+  /** Sends bytes and waits until the server has closed the connection. */
   async function send(parts: readonly Uint8Array[], login: boolean) {
     const wire = await harness.connectWire();
     if (login) await wire.logIn();
     wire.send(...parts.map(part => Buffer.from(part)));
     wire.socket.end();
-    await wire.closed();
+    await wire.waitForClose();
   }
 
   it.each([
     ['before the login', false],
     ['after the login', true],
-  ])('outlives random messages %s', async (_, login) => {
-    witness = await harness.connect({team: 'blue'});
+  ])('survives random messages %s', async (_, login) => {
+    otherClient = await harness.connect({team: 'blue'});
     await fc.assert(
       fc.asyncProperty(input, async parts => {
         await send(parts, login);
-        expect((await witness.query('SELECT 1')).rowCount).toBe(1);
+        expect((await otherClient.query('SELECT 1')).rowCount).toBe(1);
       }),
       {seed: SEED, numRuns: RUNS},
     );
   });
 
-  it('refuses an oversized message before it arrives', async () => {
+  it('refuses an oversized message by its header alone', async () => {
     const wire = await harness.logInWire();
-    wire.send(frameOf('Q'.charCodeAt(0), OVERSIZED_BYTES, Buffer.alloc(10)));
-    expect(codesOf(await wire.until('E'))).toEqual(['08P01']);
-    await wire.closed();
+    wire.send(
+      buildMessage('Q'.charCodeAt(0), OVERSIZED_BYTES, Buffer.alloc(10)),
+    );
+    expect(codesOf(await wire.readUntil('E'))).toEqual(['08P01']);
+    await wire.waitForClose();
   });
 
   it('refuses an oversized start-up packet', async () => {
@@ -76,25 +81,25 @@
     const packet = Buffer.alloc(8);
     packet.writeInt32BE(OVERSIZED_BYTES, 0);
     wire.send(packet);
-    expect(codesOf(await wire.until('E'))).toEqual(['08P01']);
-    await wire.closed();
+    expect(codesOf(await wire.readUntil('E'))).toEqual(['08P01']);
+    await wire.waitForClose();
   });
 
   it('refuses an oversized password', async () => {
     const wire = await harness.connectWire();
     wire.send(serialize.startup({user: 'red', database: 'claims'}));
-    await wire.until('R');
+    await wire.readUntil('R');
     wire.send(serialize.password('x'.repeat(100_000)));
-    expect(codesOf(await wire.until('E'))).toEqual(['08P01']);
-    await wire.closed();
+    expect(codesOf(await wire.readUntil('E'))).toEqual(['08P01']);
+    await wire.waitForClose();
   });
 
-  it('rolls back for a caller that breaks off within a message', async () => {
+  it('rolls back for a caller that disconnects within a message', async () => {
     const wire = await harness.logInWire();
     await wire.query('BEGIN');
     wire.send(serialize.query('COMMIT').subarray(0, 7));
     wire.socket.end();
-    await wire.closed();
+    await wire.waitForClose();
     expect(harness.node.homes.active).toBe(0);
   });
 });
--- a/test/callers/cancel.test.ts
+++ b/test/callers/cancel.test.ts
@@ -5,13 +5,13 @@
 import {useHarness, type TestClient} from './harness.js';
 import {expectSqlstate} from '../fakes/failures.js';
 
-/** Statements that the home sends to one database of two slots at once. */
+/** Statements that the home runs concurrently at a database with two slots. */
 const PRIMARY_CONCURRENCY = 3;
 
 describe('cancel requests', () => {
   const harness = useHarness();
 
-  function keyOfClient(client: TestClient) {
+  function backendKeyOf(client: TestClient) {
     return client as unknown as {processID: number; secretKey: number};
   }
 
@@ -23,20 +23,20 @@
     await once(socket, 'close');
   }
 
-  it('stops a running statement and the session goes on', async () => {
+  it('cancels a running statement and keeps the session', async () => {
     const client = await harness.connect();
     const sleeping = client.query('SELECT pg_sleep(60)');
     const outcome = expectSqlstate(sleeping, '57014');
-    const {processID, secretKey} = keyOfClient(client);
+    const {processID, secretKey} = backendKeyOf(client);
     let stopped = false;
     void sleeping.catch(() => (stopped = true));
-    // A request that comes before the statement runs stops nothing.
+    // A request that arrives before the statement runs has no effect.
     while (!stopped) await cancel(processID, secretKey);
     await outcome;
     expect((await client.query('SELECT 1')).rowCount).toBe(1);
   });
 
-  it('takes a statement that waits for a slot out of the queue', async () => {
+  it('removes a statement that waits for a slot from the queue', async () => {
     harness.access.staleMs = 0;
     const sleepers = await Promise.all(
       Array.from({length: PRIMARY_CONCURRENCY}, () => harness.connect()),
@@ -46,7 +46,7 @@
       const query = sleeper.query('SELECT pg_sleep(60)');
       void query.catch(({code}) => void ended.push(code));
     }
-    await harness.untilActive(PRIMARY_CONCURRENCY);
+    await harness.waitForActive(PRIMARY_CONCURRENCY);
     const client = await harness.connect();
     const waiting = client.query(
       "INSERT INTO claims (id, team, value) VALUES ('waits', 'red', 1)",
@@ -55,14 +55,14 @@
       code: '57014',
       detail: 'outcome=not_run reason=cancelled',
     });
-    await harness.untilActive(PRIMARY_CONCURRENCY + 1);
-    const {processID, secretKey} = keyOfClient(client);
+    await harness.waitForActive(PRIMARY_CONCURRENCY + 1);
+    const {processID, secretKey} = backendKeyOf(client);
     await cancel(processID, secretKey);
     await outcome;
     expect(ended).toEqual([]);
     await Promise.all(
       sleepers
-        .map(keyOfClient)
+        .map(backendKeyOf)
         .map(key => cancel(key.processID, key.secretKey)),
     );
     const read = "SELECT id FROM claims WHERE id = 'waits'";
@@ -70,7 +70,7 @@
     expect(ended).toEqual(sleepers.map(() => '57014'));
   });
 
-  it('stops a transaction at a home that was described anew', async () => {
+  it('cancels a statement of a transaction after its group was reconfigured', async () => {
     const client = await harness.connect();
     await client.query('BEGIN');
     harness.slots = 3;
@@ -81,16 +81,16 @@
     );
     let stopped = false;
     void outcome.finally(() => (stopped = true)).catch(() => {});
-    const {processID, secretKey} = keyOfClient(client);
+    const {processID, secretKey} = backendKeyOf(client);
     while (!stopped) await cancel(processID, secretKey);
     await outcome;
   });
 
-  it('stops nothing by a wrong secret', async () => {
+  it('ignores a cancel request with a wrong secret key', async () => {
     const client = await harness.connect();
     const sleeping = client.query('SELECT pg_sleep(0.3)');
-    const {processID, secretKey} = keyOfClient(client);
-    await harness.untilActive(1);
+    const {processID, secretKey} = backendKeyOf(client);
+    await harness.waitForActive(1);
     await cancel(processID, secretKey ^ 1);
     expect((await sleeping).rowCount).toBe(1);
     expect(harness.forwardedCancels).toContainEqual({
--- a/test/callers/certificate.ts
+++ b/test/callers/certificate.ts
@@ -1,4 +1,4 @@
-/** A self-signed certificate for tests, built with the runtime's own crypto. */
+/** Creates a self-signed TLS certificate for tests with `node:crypto`. */
 import {generateKeyPairSync, randomBytes, sign} from 'node:crypto';
 import {createSecureContext, type SecureContext} from 'node:tls';
 
@@ -12,39 +12,42 @@
   generalizedTime: 0x18,
   version: 0xa0,
 } as const;
-/** 1.2.840.10045.4.3.2 and 2.5.4.3, encoded. */
+/** The object ids 1.2.840.10045.4.3.2 and 2.5.4.3, DER-encoded. */
 const ECDSA_WITH_SHA256 = Buffer.from('2a8648ce3d040302', 'hex');
 const COMMON_NAME = Buffer.from('550403', 'hex');
 const VERSION_3 = 2;
-const LONG_LENGTH_BITS = 0x80;
+const LONG_FORM_LENGTH = 0x80;
 
 /** Creates a context whose certificate is valid for `localhost`. */
 export function createTestTls(): SecureContext {
   const {privateKey, publicKey} = generateKeyPairSync('ec', {
     namedCurve: 'P-256',
   });
-  const algorithm = der(TAG.sequence, der(TAG.objectId, ECDSA_WITH_SHA256));
-  const name = der(
+  const algorithm = encodeDer(
     TAG.sequence,
-    der(
+    encodeDer(TAG.objectId, ECDSA_WITH_SHA256),
+  );
+  const name = encodeDer(
+    TAG.sequence,
+    encodeDer(
       TAG.set,
-      der(
+      encodeDer(
         TAG.sequence,
-        der(TAG.objectId, COMMON_NAME),
-        der(TAG.text, Buffer.from('localhost')),
+        encodeDer(TAG.objectId, COMMON_NAME),
+        encodeDer(TAG.text, Buffer.from('localhost')),
       ),
     ),
   );
-  const validity = der(
+  const validity = encodeDer(
     TAG.sequence,
-    der(TAG.generalizedTime, Buffer.from('20200101000000Z')),
-    der(TAG.generalizedTime, Buffer.from('20991231235959Z')),
+    encodeDer(TAG.generalizedTime, Buffer.from('20200101000000Z')),
+    encodeDer(TAG.generalizedTime, Buffer.from('20991231235959Z')),
   );
   const serial = Buffer.concat([Buffer.from([1]), randomBytes(8)]);
-  const body = der(
+  const body = encodeDer(
     TAG.sequence,
-    der(TAG.version, der(TAG.integer, Buffer.from([VERSION_3]))),
-    der(TAG.integer, serial),
+    encodeDer(TAG.version, encodeDer(TAG.integer, Buffer.from([VERSION_3]))),
+    encodeDer(TAG.integer, serial),
     algorithm,
     name,
     validity,
@@ -53,23 +56,28 @@
   );
   const signature = sign('sha256', body, privateKey);
   const bits = Buffer.concat([Buffer.from([0]), signature]);
-  const cert = der(TAG.sequence, body, algorithm, der(TAG.bitString, bits));
+  const cert = encodeDer(
+    TAG.sequence,
+    body,
+    algorithm,
+    encodeDer(TAG.bitString, bits),
+  );
   return createSecureContext({
     cert: toPem('CERTIFICATE', cert),
     key: privateKey.export({type: 'pkcs8', format: 'pem'}),
   });
 }
 
-/** Encodes one value by the distinguished encoding rules of ASN.1. */
-function der(tag: number, ...parts: readonly Buffer[]): Buffer {
+/** Encodes an ASN.1 value in DER. */
+function encodeDer(tag: number, ...parts: readonly Buffer[]): Buffer {
   const content = Buffer.concat(parts);
-  return Buffer.concat([Buffer.from([tag, ...length(content)]), content]);
+  return Buffer.concat([Buffer.from([tag, ...encodeLength(content)]), content]);
 }
 
-function length({length: bytes}: Buffer): readonly number[] {
-  if (bytes < LONG_LENGTH_BITS) return [bytes];
-  if (bytes < 0x100) return [LONG_LENGTH_BITS | 1, bytes];
-  return [LONG_LENGTH_BITS | 2, bytes >> 8, bytes & 0xff];
+function encodeLength({length: bytes}: Buffer): readonly number[] {
+  if (bytes < LONG_FORM_LENGTH) return [bytes];
+  if (bytes < 0x100) return [LONG_FORM_LENGTH | 1, bytes];
+  return [LONG_FORM_LENGTH | 2, bytes >> 8, bytes & 0xff];
 }
 
 function toPem(label: string, bytes: Buffer): string {
--- a/test/callers/fakes.ts
+++ b/test/callers/fakes.ts
@@ -1,4 +1,4 @@
-/** Fakes of the ports through which a caller's session reaches the node. */
+/** Fakes of the interfaces through which a caller's session uses the node. */
 import type {Admission} from '../../src/admission/types.js';
 import type {
   AccessPort,
@@ -10,10 +10,10 @@
 } from '../../src/callers/types.js';
 import {notRun, type NotRun} from '../../src/verdict/verdict.js';
 
-/** The one group that the harness serves. */
+/** Name of the database group that the harness serves. */
 export const GROUP = 'claims';
 
-/** Teams, keys and rules that a test changes as it goes. */
+/** Keys and rules that a test can change at any time. */
 export class FakeAccess implements AccessPort {
   readonly #keys = new Map<string, string>();
   staleMs = 60_000;
@@ -63,18 +63,19 @@
   }
 }
 
-/** Admits everything but what a test refuses. */
+/** Admits every statement unless `refuseWithRetryMs` is set. */
 export class FakeAdmission implements AdmissionPort {
-  /** How often each team was admitted. */
+  /** Number of admissions by team. */
   readonly admitted = new Map<string, number>();
-  refuseAfterMs: number | undefined;
+  /** Refuses statements as over the rate, with this `retryAfterMs`. */
+  refuseWithRetryMs: number | undefined;
 
   async admit(team: string): Promise<Admission> {
-    if (this.refuseAfterMs !== undefined) {
+    if (this.refuseWithRetryMs !== undefined) {
       return {
         kind: 'refused',
         reason: 'overRate',
-        retryAfterMs: this.refuseAfterMs,
+        retryAfterMs: this.refuseWithRetryMs,
       };
     }
     this.admitted.set(team, (this.admitted.get(team) ?? 0) + 1);
--- a/test/callers/harness.ts
+++ b/test/callers/harness.ts
@@ -1,4 +1,4 @@
-/** One group of databases and the servers in front of it, in this process. */
+/** A database group and the caller servers in front of it, in this process. */
 import type {SecureContext} from 'node:tls';
 import pg from 'pg';
 import {afterAll, afterEach, beforeAll, expect, vi} from 'vitest';
@@ -28,10 +28,10 @@
 const TOKEN_SECRET = 'token-secret-of-the-tests';
 const CONNECT_TIMEOUT_MS = 2_000;
 const DRAIN_MS = 2_000;
-/** For what a test waits for. */
-export const WAIT = {timeout: 10_000, interval: 10};
+/** Options of `vi.waitFor`. */
+export const WAIT_OPTIONS = {timeout: 10_000, interval: 10};
 
-/** How a harness differs from its defaults. */
+/** Overrides of the harness's defaults. */
 export interface HarnessOptions {
   readonly databases?: Partial<DatabaseOptions>;
   readonly tls?: SecureContext;
@@ -39,31 +39,31 @@
   readonly deadlineMs?: number;
 }
 
-/** A server for callers with the home behind it. */
+/** A caller server with its home service and its metrics samples. */
 export interface CallerNode {
   readonly server: CallerServer;
   readonly homes: HomeService;
   readonly samples: readonly StatementSample[];
 }
 
-/** How a client connects. */
+/** Options of a client connection. */
 export interface ConnectOptions extends pg.ClientConfig {
   readonly team?: string;
   readonly node?: CallerNode;
 }
 
-/** A stock client that remembers the session token reported to it. */
+/** A `pg` client that stores the session token last reported to it. */
 export interface TestClient extends pg.Client {
   token?: string;
 }
 
-/** The group, its servers and the clients of one test. */
+/** A database group, its servers and the clients of a test. */
 export class Harness {
   readonly access = new FakeAccess();
   readonly admission = new FakeAdmission();
   readonly forwardedCancels: CancelKey[] = [];
   databases: readonly Database[] = [];
-  /** Slots of each database as the platform describes it. */
+  /** Slots of each database in the group's description. */
   slots = 2;
   readonly nodes: CallerNode[] = [];
   readonly #options: HarnessOptions;
@@ -82,13 +82,17 @@
   }
 
   get primary(): Database {
-    const primary = this.databases.find(one => one.member.role === 'primary');
+    const primary = this.databases.find(
+      database => database.member.role === 'primary',
+    );
     if (primary === undefined) throw new Error('the group has no primary');
     return primary;
   }
 
   get replicas(): readonly Database[] {
-    return this.databases.filter(one => one.member.role === 'replica');
+    return this.databases.filter(
+      database => database.member.role === 'replica',
+    );
   }
 
   async start(): Promise<void> {
@@ -103,7 +107,7 @@
     await this.addNode();
   }
 
-  /** Opens one more server with a home of its own. */
+  /** Starts another server with its own home service. */
   async addNode(vm = `vm${this.nodes.length + 1}`): Promise<CallerNode> {
     const samples: StatementSample[] = [];
     const homes = this.#createHomes(vm);
@@ -134,7 +138,7 @@
     return node;
   }
 
-  /** Connects the stock client. */
+  /** Connects a `pg` client. */
   async connect(options: ConnectOptions = {}): Promise<TestClient> {
     const {team = 'red', node = this.node, ...config} = options;
     const client: TestClient = new pg.Client({
@@ -157,27 +161,27 @@
     return client;
   }
 
-  /** Opens a connection that speaks the protocol frame by frame. */
+  /** Opens a raw connection, to send and receive single messages. */
   async connectWire(node = this.node): Promise<WireClient> {
     const wire = await WireClient.connect(node.server.port);
     this.#wires.push(wire);
     return wire;
   }
 
-  /** Opens such a connection and logs in. */
+  /** Opens a raw connection and logs in. */
   async logInWire(): Promise<WireClient> {
     const wire = await this.connectWire();
     await wire.logIn();
     return wire;
   }
 
-  /** Waits until the home runs this many batches and open transactions. */
-  async untilActive(count: number): Promise<void> {
+  /** Waits until the home has this many running batches and open transactions. */
+  async waitForActive(count: number): Promise<void> {
     const {homes} = this.node;
-    await vi.waitFor(() => expect(homes.active).toBe(count), WAIT);
+    await vi.waitFor(() => expect(homes.active).toBe(count), WAIT_OPTIONS);
   }
 
-  /** Ends the clients and undoes what a test set. */
+  /** Closes the clients and restores the default settings. */
   async reset(): Promise<void> {
     for (const wire of this.#wires.splice(0)) wire.destroy();
     await Promise.all(
@@ -186,7 +190,7 @@
     this.access.staleMs = 60_000;
     this.access.open = false;
     this.slots = 2;
-    this.admission.refuseAfterMs = undefined;
+    this.admission.refuseWithRetryMs = undefined;
     for (const team of ['red', 'blue']) this.access.grant(team);
   }
 
@@ -216,7 +220,7 @@
       dataCentre: 'hobart',
       instanceId: vm,
       access: {
-        control: one => new PgDatabaseControl(one, CREDENTIALS),
+        control: database => new PgDatabaseControl(database, CREDENTIALS),
         connect: ({host, port}) =>
           PgTargetConnection.connect({
             host,
@@ -238,7 +242,7 @@
   }
 }
 
-/** A harness for all tests of a file; clients end with each test. */
+/** Shares a harness among the tests of a file; resets it after each test. */
 export function useHarness(options: HarnessOptions = {}): Harness {
   const harness = new Harness(options);
   beforeAll(() => harness.start());
--- a/test/callers/queries.test.ts
+++ b/test/callers/queries.test.ts
@@ -10,7 +10,7 @@
 describe('queries', () => {
   const harness = useHarness();
 
-  it('answers simple queries, several in one', async () => {
+  it('answers simple queries, also with several statements', async () => {
     const client = await harness.connect();
     const results = (await client.query(
       "INSERT INTO claims (id, team, value) VALUES ('s1', 'it''s', 3); SELECT id, team, value FROM claims WHERE id = 's1'",
@@ -52,20 +52,20 @@
     ]).flat();
     wire.send(...batches);
     for (let n = 1; n <= 20; n++) {
-      const frames = await wire.until('Z');
+      const frames = await wire.readUntil('Z');
       expect(rowsOf(frames)).toHaveLength(n);
       expect(typesOf(frames)).toBe(`12T${'D'.repeat(n)}CZ`);
     }
   });
 
-  it('hides the Parse that it repeats for a named statement', async () => {
+  it('hides the ParseComplete of a repeated Parse of a named statement', async () => {
     const wire = await harness.logInWire();
     wire.send(
       serialize.parse({name: 'one', text: 'SELECT 1'}),
       serialize.parse({name: 'two', text: 'SELECT generate_series(1, 2)'}),
       serialize.sync(),
     );
-    expect(typesOf(await wire.until('Z'))).toBe('11Z');
+    expect(typesOf(await wire.readUntil('Z'))).toBe('11Z');
     wire.send(
       serialize.bind({statement: 'two'}),
       serialize.execute(),
@@ -73,24 +73,24 @@
       serialize.execute(),
       serialize.sync(),
     );
-    const frames = await wire.until('Z');
+    const frames = await wire.readUntil('Z');
     expect(typesOf(frames)).toBe('2DDC2DCZ');
     expect(rowsOf(frames)).toEqual(['1', '2', '1']);
   });
 
-  it('fails a batch with an unknown statement and goes on', async () => {
+  it('fails a batch with an unknown statement and keeps the session', async () => {
     const wire = await harness.logInWire();
     wire.send(
       serialize.bind({statement: 'missing'}),
       serialize.execute(),
       serialize.sync(),
     );
-    const frames = await wire.until('Z');
+    const frames = await wire.readUntil('Z');
     expect(codesOf(frames)).toEqual(['26000']);
     expect(rowsOf(await wire.query('SELECT 1'))).toEqual(['1']);
   });
 
-  it('passes errors on with their SQLSTATE', async () => {
+  it('forwards errors with their SQLSTATE', async () => {
     const client = await harness.connect();
     await client.query(INSERT, ['e1', 'red', 1]);
     await expectSqlstate(client.query(INSERT, ['e1', 'red', 1]), '23505');
@@ -109,7 +109,7 @@
     'COPY claims FROM STDIN',
     'LISTEN claims',
     'CREATE TEMP TABLE t (id text)',
-  ])('refuses %s and goes on', async sql => {
+  ])('refuses %s and keeps the session', async sql => {
     const client = await harness.connect();
     await expectSqlstate(client.query(sql), '0A000');
     expect((await client.query('SELECT 1')).rowCount).toBe(1);
--- a/test/callers/session-output.test.ts
+++ b/test/callers/session-output.test.ts
@@ -9,20 +9,22 @@
     const socket = new PassThrough({highWaterMark: 1});
     const output = new SessionOutput(socket);
     let passed = false;
-    const passing = output.pass(PART).then(() => (passed = true));
+    const passing = output
+      .addWithBackpressure(PART)
+      .then(() => (passed = true));
     await new Promise(resolve => setImmediate(resolve));
     expect(passed).toBe(false);
     socket.resume();
     await passing;
   });
 
-  it('waits no longer once the caller is gone', async () => {
+  it('stops waiting when the caller disconnects', async () => {
     const socket = new PassThrough({highWaterMark: 1});
     const output = new SessionOutput(socket);
-    const passing = output.pass(PART);
+    const passing = output.addWithBackpressure(PART);
     socket.destroy();
     await passing;
-    await output.pass(PART);
+    await output.addWithBackpressure(PART);
   });
 
   it('joins small messages into one write', () => {
--- a/test/callers/session-parameters.test.ts
+++ b/test/callers/session-parameters.test.ts
@@ -13,7 +13,7 @@
     return (rows[0] as Record<string, string>)['zinnia.session'] ?? '';
   }
 
-  it('reports the token after each write and shows it', async () => {
+  it('reports the token after each write and returns it by SHOW', async () => {
     const client = await harness.connect();
     await client.query(INSERT, ['t1', 'red', 1]);
     const first = client.token;
@@ -47,22 +47,22 @@
     expect((await reader.query(READ, ['no-token'])).rows).toHaveLength(1);
   });
 
-  it('merges a token into what the session has seen', async () => {
-    const [one, two] = [await harness.connect(), await harness.connect()];
-    await one.query(INSERT, ['merge-1', 'red', 1]);
-    await two.query(INSERT, ['merge-2', 'red', 1]);
-    await two.query(`SET zinnia.session = '${one.token}'`);
-    expect(await tokenOf(two)).toBe(two.token);
-    await two.query('RESET zinnia.session');
-    expect(await tokenOf(two)).not.toBe(two.token);
+  it('merges a token into the token of the session', async () => {
+    const [first, second] = [await harness.connect(), await harness.connect()];
+    await first.query(INSERT, ['merge-1', 'red', 1]);
+    await second.query(INSERT, ['merge-2', 'red', 1]);
+    await second.query(`SET zinnia.session = '${first.token}'`);
+    expect(await tokenOf(second)).toBe(second.token);
+    await second.query('RESET zinnia.session');
+    expect(await tokenOf(second)).not.toBe(second.token);
   });
 
-  it('refuses a forged or cut token with a clear error', async () => {
+  it('refuses a forged or truncated token with an error that names it', async () => {
     const client = await harness.connect();
     await client.query(INSERT, ['forged', 'red', 1]);
     const token = client.token ?? '';
-    const changed = token.slice(0, -4) + 'AAAA';
-    for (const forged of [changed, token.slice(0, 8), 'nonsense']) {
+    const altered = token.slice(0, -4) + 'AAAA';
+    for (const forged of [altered, token.slice(0, 8), 'nonsense']) {
       await expect(
         client.query(`SET zinnia.session = '${forged}'`),
       ).rejects.toMatchObject({
@@ -110,7 +110,7 @@
     expect(await show('zinnia.priority')).toEqual(['default']);
   });
 
-  it('ends statements at their deadline, at the databases too', async () => {
+  it('cancels statements at their deadline, also at the databases', async () => {
     const client = await harness.connect();
     await client.query("SET zinnia.deadline_ms = '200'");
     for (let round = 0; round < 4; round++) {
--- a/test/callers/startup.test.ts
+++ b/test/callers/startup.test.ts
@@ -10,8 +10,8 @@
 const STARTUP_TIMEOUT_MS = 10_000;
 const PROTOCOL_3_2 = 0x00030002;
 
-/** A start-up packet of any protocol version. */
-function startupOf(version: number, params: Record<string, string>): Buffer {
+/** Builds a start-up packet for the given protocol version. */
+function buildStartup(version: number, params: Record<string, string>): Buffer {
   const text = Object.entries(params).flat().join('\0');
   const body = Buffer.concat([Buffer.alloc(8), Buffer.from(`${text}\0\0`)]);
   body.writeInt32BE(body.length, 0);
@@ -34,7 +34,7 @@
     const wire = await harness.connectWire();
     const frames = await wire.logIn({key: password});
     expect(codesOf(frames)).toEqual(['28P01']);
-    await wire.closed();
+    await wire.waitForClose();
   });
 
   it("refuses another team's key", async () => {
@@ -44,7 +44,7 @@
     );
   });
 
-  it('asks for no key on an open route', async () => {
+  it('requires no key on an open route', async () => {
     harness.access.open = true;
     const client = await harness.connect({password: undefined});
     expect((await client.query('SELECT 1')).rowCount).toBe(1);
@@ -66,18 +66,18 @@
     harness.node.server.closeRevoked(authority =>
       harness.access.recheck(authority),
     );
-    expect(codesOf(await wire.until('E'))).toEqual(['28P01']);
-    await wire.closed();
+    expect(codesOf(await wire.readUntil('E'))).toEqual(['28P01']);
+    await wire.waitForClose();
     expect((await other.query('SELECT 1')).rowCount).toBe(1);
   });
 
-  it('runs nothing for a withdrawn key', async () => {
+  it('runs no statement for a withdrawn key', async () => {
     const client = await harness.connect();
     harness.access.withdraw('red');
     await expectSqlstate(client.query('SELECT 1'), '28P01');
   });
 
-  it('encrypts on request', async () => {
+  it('upgrades to TLS on request', async () => {
     const client = await harness.connect({ssl: {rejectUnauthorized: false}});
     const {connection} = client as unknown as {
       connection: {stream: {encrypted?: boolean}};
@@ -91,13 +91,13 @@
     harness.access.open = true;
     const wire = await harness.connectWire();
     wire.send(
-      startupOf(PROTOCOL_3_2, {
+      buildStartup(PROTOCOL_3_2, {
         user: 'red',
         database: 'claims',
         '_pq_.extra': '1',
       }),
     );
-    const frames = await wire.until('Z');
+    const frames = await wire.readUntil('Z');
     const [negotiate] = frames;
     expect(negotiate?.type).toBe('v');
     expect(negotiate?.bytes.readInt32BE(5)).toBe(0);
@@ -107,9 +107,9 @@
 
   it('refuses protocol 2', async () => {
     const wire = await harness.connectWire();
-    wire.send(startupOf(0x00020000, {user: 'red'}));
-    expect(codesOf(await wire.until('E'))).toEqual(['08P01']);
-    await wire.closed();
+    wire.send(buildStartup(0x00020000, {user: 'red'}));
+    expect(codesOf(await wire.readUntil('E'))).toEqual(['08P01']);
+    await wire.waitForClose();
   });
 
   it('disconnects a caller that does not finish its start-up', async () => {
@@ -126,7 +126,7 @@
     if (!closed) await once(socket, 'close');
   });
 
-  it('refuses callers over its limit and says when to come back', async () => {
+  it('refuses callers above its limit with a time to retry after', async () => {
     const wires = await Promise.all(
       Array.from({length: 20}, () => harness.connectWire()),
     );
--- a/test/callers/transactions.test.ts
+++ b/test/callers/transactions.test.ts
@@ -3,7 +3,7 @@
 import {expectSqlstate} from '../fakes/failures.js';
 
 const INSERT = 'INSERT INTO claims (id, team, value) VALUES ($1, $2, $3)';
-const WAIT = {timeout: 5_000, interval: 10};
+const WAIT_OPTIONS = {timeout: 5_000, interval: 10};
 
 describe('transactions', () => {
   const harness = useHarness();
@@ -14,8 +14,8 @@
     return (rows[0] as {count: string}).count;
   }
 
-  /** Work connections that the databases have open. */
-  async function pinned(): Promise<number> {
+  /** Number of running batches and open transactions at the home. */
+  async function countActive(): Promise<number> {
     return harness.node.homes.active;
   }
 
@@ -30,10 +30,10 @@
       await client.query(end);
       expect(await countOf(client, `end-${end}`)).toBe(count);
     }
-    expect(await pinned()).toBe(0);
+    expect(await countActive()).toBe(0);
   });
 
-  it('counts each statement, also of a batch, as read, write or transaction', async () => {
+  it('counts each statement, also in a batch, as read, write or transaction', async () => {
     const client = await harness.connect();
     const before = harness.node.samples.length;
     const read = 'SELECT count(*) FROM claims';
@@ -65,7 +65,7 @@
     ]);
   });
 
-  it('shows open work to its own session only', async () => {
+  it('makes uncommitted writes visible to their own session only', async () => {
     const client = await harness.connect();
     const other = await harness.connect();
     await client.query('BEGIN');
@@ -75,7 +75,7 @@
     await client.query('ROLLBACK');
   });
 
-  it('refuses statements after an error until the end', async () => {
+  it('refuses statements after an error until the transaction ends', async () => {
     const client = await harness.connect();
     await client.query('BEGIN');
     await client.query(INSERT, ['failed', 'red', 1]);
@@ -86,7 +86,7 @@
   });
 
   it.each(['SELEC 1', 'LISTEN claims', 'SET zinnia.priority = nonsense'])(
-    'fails the transaction on %s as a database would',
+    'aborts the transaction on %s as a database would',
     async sql => {
       const client = await harness.connect();
       const id = `refused-${sql}`;
@@ -99,16 +99,19 @@
     },
   );
 
-  it('rolls back for a caller lost in the middle and keeps the connection', async () => {
+  it('rolls back for a caller lost in a transaction and keeps the connection', async () => {
     const wire = await harness.connectWire();
     await wire.logIn();
     await wire.query('BEGIN');
     await wire.query(
       "INSERT INTO claims (id, team, value) VALUES ('lost', 'red', 1)",
     );
-    expect(await pinned()).toBe(1);
+    expect(await countActive()).toBe(1);
     wire.destroy();
-    await vi.waitFor(async () => expect(await pinned()).toBe(0), WAIT);
+    await vi.waitFor(
+      async () => expect(await countActive()).toBe(0),
+      WAIT_OPTIONS,
+    );
     const client = await harness.connect();
     expect(await countOf(client, 'lost')).toBe('0');
     await client.query(INSERT, ['lost', 'red', 2]);
@@ -120,9 +123,15 @@
     await wire.logIn();
     await wire.query('BEGIN');
     void wire.query('SELECT pg_sleep(0.2)').catch(() => {});
-    await vi.waitFor(() => expect(harness.node.homes.active).toBe(1), WAIT);
+    await vi.waitFor(
+      () => expect(harness.node.homes.active).toBe(1),
+      WAIT_OPTIONS,
+    );
     wire.destroy();
-    await vi.waitFor(async () => expect(await pinned()).toBe(0), WAIT);
+    await vi.waitFor(
+      async () => expect(await countActive()).toBe(0),
+      WAIT_OPTIONS,
+    );
   });
 
   it('never mixes two sessions that interleave', async () => {
@@ -151,7 +160,9 @@
     const reader = await harness.connect();
     for (const [n, count] of ['3', '0', '3'].entries()) {
       const ids = [1, 2, 3].map(round => countOf(reader, `mix-${n}-${round}`));
-      const found = (await Promise.all(ids)).filter(one => one === '1').length;
+      const found = (await Promise.all(ids)).filter(
+        rows => rows === '1',
+      ).length;
       expect(String(found)).toBe(count);
     }
   });
--- a/test/callers/wire-client.ts
+++ b/test/callers/wire-client.ts
@@ -1,4 +1,4 @@
-/** A caller that sends and receives single protocol messages. */
+/** Test client that sends and receives single PostgreSQL messages. */
 import {once} from 'node:events';
 import {connect, type Socket} from 'node:net';
 import {serialize} from 'pg-protocol';
@@ -12,7 +12,7 @@
 
 const MAX_FRAME_BYTES = 16 * 1024 * 1024;
 
-/** Who logs in. */
+/** Credentials and start-up parameters of a log-in. */
 export interface Login {
   readonly team?: string;
   readonly key?: string;
@@ -20,7 +20,7 @@
   readonly params?: Readonly<Record<string, string>>;
 }
 
-/** A raw connection to a caller port. */
+/** A raw connection to a caller server. */
 export class WireClient {
   readonly socket: Socket;
   readonly #reader: FrameReader;
@@ -42,13 +42,13 @@
     this.socket.write(Buffer.concat(messages));
   }
 
-  /** The next message; undefined once the server has closed. */
+  /** Reads the next message; undefined if the server has closed. */
   next(): Promise<Frame | undefined> {
     return this.#reader.next();
   }
 
-  /** Messages up to one of type `last`, or to the end of the connection. */
-  async until(last: string): Promise<readonly Frame[]> {
+  /** Reads up to a message of type `last` or to the end of the connection. */
+  async readUntil(last: string): Promise<readonly Frame[]> {
     const frames: Frame[] = [];
     for (;;) {
       const frame = await this.next();
@@ -58,27 +58,27 @@
     }
   }
 
-  /** Logs in as the stock client does; the messages up to ReadyForQuery. */
+  /** Logs in with a key; returns the messages up to ReadyForQuery. */
   async logIn(login: Login = {}): Promise<readonly Frame[]> {
     const {team = 'red', key = keyOf(team), database = GROUP} = login;
     this.send(serialize.startup({user: team, database, ...login.params}));
-    const asked = await this.until('R');
+    const authentication = await this.readUntil('R');
     this.send(serialize.password(key));
-    return [...asked, ...(await this.until('Z'))];
+    return [...authentication, ...(await this.readUntil('Z'))];
   }
 
-  /** Runs a simple query; the messages up to ReadyForQuery. */
+  /** Runs a simple query; returns the messages up to ReadyForQuery. */
   query(sql: string): Promise<readonly Frame[]> {
     this.send(serialize.query(sql));
-    return this.until('Z');
+    return this.readUntil('Z');
   }
 
   /** Resolves once the connection has closed. */
-  async closed(): Promise<void> {
+  async waitForClose(): Promise<void> {
     try {
       while ((await this.next()) !== undefined);
     } catch {
-      // A reset closes the connection as well.
+      // A connection reset counts as closed.
     }
     if (!this.socket.destroyed) await once(this.socket, 'close');
   }
@@ -88,19 +88,19 @@
   }
 }
 
-/** The types of messages, in order, as one string. */
+/** Returns the type bytes of messages, in order, as one string. */
 export function typesOf(frames: readonly Frame[]): string {
   return frames.map(({type}) => type).join('');
 }
 
-/** The SQLSTATEs of the errors among messages. */
+/** Returns the SQLSTATEs of the ErrorResponse messages. */
 export function codesOf(frames: readonly Frame[]): readonly string[] {
   return frames
     .filter(({type}) => type === 'E')
     .map(({bytes}) => readErrorFields(bytes).code);
 }
 
-/** The first column of each row among messages, as text. */
+/** Returns the first column of each DataRow as text. */
 export function rowsOf(frames: readonly Frame[]): readonly string[] {
   return frames
     .filter(({type}) => type === 'D')
--- a/test/golden/recorder.ts
+++ b/test/golden/recorder.ts
@@ -1,8 +1,8 @@
-/** Writes down a session as one line for each message, volatile values masked. */
+/** Records a session as one text line per message, with varying values masked. */
 import {serialize} from 'pg-protocol';
 import {
   FRAME_HEADER_BYTES,
-  readStrings,
+  readCStrings,
   type Frame,
 } from '../../src/targets/frames.js';
 import {readColumns, readValues} from '../../src/targets/query-rows.js';
@@ -10,14 +10,14 @@
 import type {WireClient} from '../callers/wire-client.js';
 
 const MASK = '<masked>';
-/** Values that differ from run to run, and their names. */
-const VOLATILE_PARAMETERS: ReadonlySet<string> = new Set(['zinnia.session']);
+/** Parameters whose values differ between runs. */
+const MASKED_PARAMETERS: ReadonlySet<string> = new Set(['zinnia.session']);
 const STATUS_NAMES: Readonly<Record<string, string>> = {
   I: 'idle',
   T: 'open',
   E: 'failed',
 };
-const PLAIN_NAMES: Readonly<Record<string, string>> = {
+const MESSAGE_NAMES: Readonly<Record<string, string>> = {
   '1': 'ParseComplete',
   '2': 'BindComplete',
   '3': 'CloseComplete',
@@ -27,7 +27,7 @@
   t: 'ParameterDescription',
 };
 
-/** One caller whose exchange is written down. */
+/** Sends and receives a caller's messages and records them. */
 export class SessionRecorder {
   readonly #wire: WireClient;
   readonly #lines: string[] = [];
@@ -40,21 +40,21 @@
     return new SessionRecorder(await harness.connectWire());
   }
 
-  /** The exchange so far. */
+  /** The messages recorded so far. */
   get text(): string {
     return `${this.#lines.join('\n')}\n`;
   }
 
-  /** Sends messages under a description of them. */
+  /** Sends messages and records them by a description. */
   send(description: string, ...messages: readonly Uint8Array[]): void {
     this.#lines.push(`> ${description}`);
     this.#wire.send(...messages);
   }
 
-  /** Writes down the answers up to one of type `last`, or to the end. */
+  /** Records the messages up to one of type `last` or to the connection's end. */
   async receive(last = 'Z'): Promise<void> {
-    const frames = await this.#wire.until(last);
-    for (const frame of frames) this.#lines.push(`< ${describe(frame)}`);
+    const frames = await this.#wire.readUntil(last);
+    for (const frame of frames) this.#lines.push(`< ${formatMessage(frame)}`);
     if (frames.at(-1)?.type !== last) this.#lines.push('< (closed)');
   }
 
@@ -80,8 +80,8 @@
     await this.receive();
   }
 
-  /** Runs SQL with parameters by the extended protocol. */
-  async extended(text: string, values: readonly string[]): Promise<void> {
+  /** Runs SQL with parameters by the extended query protocol. */
+  async extendedQuery(text: string, values: readonly string[]): Promise<void> {
     this.send(
       `Parse ${text} / Bind ${values.join(', ')} / Describe / Execute / Sync`,
       serialize.parse({text}),
@@ -94,7 +94,7 @@
   }
 }
 
-function describe(frame: Frame): string {
+function formatMessage(frame: Frame): string {
   const {type, bytes} = frame;
   switch (type) {
     case 'R':
@@ -102,8 +102,8 @@
         ? 'AuthenticationOk'
         : 'AuthenticationCleartextPassword';
     case 'S': {
-      const [name = '', value = ''] = readStrings(bytes);
-      const shown = VOLATILE_PARAMETERS.has(name) ? MASK : value;
+      const [name = '', value = ''] = readCStrings(bytes);
+      const shown = MASKED_PARAMETERS.has(name) ? MASK : value;
       return `ParameterStatus ${name}=${shown}`;
     }
     case 'K':
@@ -117,15 +117,15 @@
     case 'D':
       return `DataRow ${readValues(bytes).join(', ')}`;
     case 'C':
-      return `CommandComplete ${readStrings(bytes)[0]}`;
+      return `CommandComplete ${readCStrings(bytes)[0]}`;
     case 'E':
-      return `ErrorResponse\n${fieldsOf(bytes).join('\n')}`;
+      return `ErrorResponse\n${formatErrorFields(bytes).join('\n')}`;
     default:
-      return PLAIN_NAMES[type] ?? `message ${type}`;
+      return MESSAGE_NAMES[type] ?? `message ${type}`;
   }
 }
 
-function fieldsOf(bytes: Buffer): readonly string[] {
+function formatErrorFields(bytes: Buffer): readonly string[] {
   return bytes
     .toString('utf8', FRAME_HEADER_BYTES)
     .split('\0')
--- a/test/golden/sessions.test.ts
+++ b/test/golden/sessions.test.ts
@@ -47,8 +47,8 @@
 
   it('extended queries', async () => {
     await logIn();
-    await recorder.extended(INSERT, ['extended', 'red', '2']);
-    await recorder.extended('SELECT id, value FROM claims WHERE id = $1', [
+    await recorder.extendedQuery(INSERT, ['extended', 'red', '2']);
+    await recorder.extendedQuery('SELECT id, value FROM claims WHERE id = $1', [
       'extended',
     ]);
     recorder.send(
@@ -80,21 +80,21 @@
   it('a transaction with an error', async () => {
     await logIn();
     await recorder.query('BEGIN');
-    await recorder.extended(INSERT, ['transaction', 'red', '1']);
-    await recorder.extended(INSERT, ['transaction', 'red', '1']);
+    await recorder.extendedQuery(INSERT, ['transaction', 'red', '1']);
+    await recorder.extendedQuery(INSERT, ['transaction', 'red', '1']);
     await recorder.query('SELECT 1');
     await recorder.query('COMMIT');
     await recorder.query('BEGIN');
-    await recorder.extended(INSERT, ['transaction', 'red', '2']);
+    await recorder.extendedQuery(INSERT, ['transaction', 'red', '2']);
     await recorder.query('COMMIT');
     await expect(recorder.text).toMatchFileSnapshot('transaction.golden.txt');
   });
 
   it('refusals', async () => {
     await logIn();
-    harness.admission.refuseAfterMs = 120;
+    harness.admission.refuseWithRetryMs = 120;
     await recorder.query('SELECT 1');
-    harness.admission.refuseAfterMs = undefined;
+    harness.admission.refuseWithRetryMs = undefined;
     await recorder.query('COPY claims FROM STDIN');
     await recorder.query('BEGIN');
     await recorder.query('LISTEN claims');
@@ -117,7 +117,7 @@
     );
   });
 
-  it('token hand-over', async () => {
+  it('session token passed to another session', async () => {
     const writer = await harness.connect();
     await writer.query(INSERT, ['handed-over', 'red', '3']);
     await logIn({options: `-c zinnia.session=${writer.token}`});
--- a/test/targets/frames.test.ts
+++ b/test/targets/frames.test.ts
@@ -16,9 +16,9 @@
   yield* chunks;
 }
 
-/** Cuts `bytes` at the given places, in any order. */
-function cut(bytes: Uint8Array, places: readonly number[]): Uint8Array[] {
-  const ends = [...places.map(place => place % (bytes.length + 1))];
+/** Splits `bytes` at the given offsets, which may be in any order. */
+function splitAt(bytes: Uint8Array, offsets: readonly number[]): Uint8Array[] {
+  const ends = [...offsets.map(offset => offset % (bytes.length + 1))];
   ends.sort((a, b) => a - b);
   return [...ends, bytes.length].map((end, index) =>
     bytes.subarray(ends[index - 1] ?? 0, end),
@@ -26,7 +26,7 @@
 }
 
 describe('frame reader', () => {
-  it('gives back the frames however the stream is cut', async () => {
+  it('returns the same frames wherever the stream is split into chunks', async () => {
     const frame = fc
       .record({
         type: fc.constantFrom('Q', 'D', 'Z'),
@@ -37,8 +37,8 @@
       fc.asyncProperty(
         fc.array(frame),
         fc.array(fc.nat()),
-        async (frames, places) => {
-          const chunks = cut(Buffer.concat(frames), places);
+        async (frames, offsets) => {
+          const chunks = splitAt(Buffer.concat(frames), offsets);
           const reader = new FrameReader(chunksOf(chunks), MAX_FRAME_BYTES);
           const read: Buffer[] = [];
           for await (const {bytes} of reader) read.push(bytes);
@@ -48,14 +48,14 @@
     );
   });
 
-  it('ends random bytes in whole frames or a typed error', async () => {
+  it('reads random bytes as whole frames or fails with a FrameError', async () => {
     await fc.assert(
       fc.asyncProperty(
         fc.uint8Array({maxLength: 300}),
         fc.array(fc.nat()),
-        async (bytes, places) => {
+        async (bytes, offsets) => {
           const reader = new FrameReader(
-            chunksOf(cut(bytes, places)),
+            chunksOf(splitAt(bytes, offsets)),
             MAX_FRAME_BYTES,
           );
           let consumed = 0;
@@ -75,7 +75,7 @@
     );
   });
 
-  it('refuses an oversized frame from its header alone', async () => {
+  it('refuses an oversized frame by its header alone', async () => {
     const header = buildFrame('D', Buffer.alloc(MAX_FRAME_BYTES)).subarray(
       0,
       5,
@@ -84,7 +84,7 @@
     await expectFailure(reader.next(), 'oversized');
   });
 
-  it('tells a truncated frame from an ended stream', async () => {
+  it('distinguishes a truncated frame from the end of the stream', async () => {
     const frame = buildFrame('D', Buffer.alloc(8));
     const whole = new FrameReader(chunksOf([frame]));
     expect((await whole.next())?.type).toBe('D');
--- a/test/targets/pg-connection.test.ts
+++ b/test/targets/pg-connection.test.ts
@@ -28,13 +28,13 @@
   return connectTarget(port, {password, maxFrameBytes: 4096});
 }
 
-async function start() {
+async function connectToDatabase() {
   const database = await startDatabase();
   return {database, connection: await connect(database.port)};
 }
 
-/** A database that accepts anyone and answers each message by `answer`. */
-async function startScripted(answer: (socket: net.Socket) => void) {
+/** Connects to a fake database that calls `answer` for each message. */
+async function connectToFake(answer: (socket: net.Socket) => void) {
   const server = net.createServer(async socket => {
     socket.on('error', () => {});
     const reader = new FrameReader(socket);
@@ -47,7 +47,7 @@
   return await connect((server.address() as AddressInfo).port);
 }
 
-/** An extended batch that answers with `last` rows. */
+/** An extended-query batch that returns `last` rows. */
 function seriesBatch(last: number): Buffer {
   return Buffer.concat([
     serialize.parse({text: 'SELECT generate_series(1,$1)'}),
@@ -58,7 +58,7 @@
   ]);
 }
 
-class Recorder implements AnswerObserver {
+class AnswerRecorder implements AnswerObserver {
   readonly chunks: Uint8Array[] = [];
   startedAt: Position | undefined;
 
@@ -78,11 +78,11 @@
 }
 
 describe('target connection', () => {
-  it('passes on the answer of an extended batch and its end', async () => {
-    const {connection} = await start();
+  it('streams the answer of an extended batch and returns its outcome', async () => {
+    const {connection} = await connectToDatabase();
     const batch = seriesBatch(3);
     const position = {term: 1, offset: 1};
-    const recorder = new Recorder();
+    const recorder = new AnswerRecorder();
     expect(await connection.run(batch, recorder)).toEqual({
       transaction: 'idle',
       position,
@@ -92,18 +92,18 @@
     expect(recorder.types).toBe('12TDDDC');
   });
 
-  it('knows the position before an answer that is sent in parts', async () => {
-    const {connection} = await start();
-    const recorder = new Recorder();
+  it('reports the position before an answer that is sent in parts', async () => {
+    const {connection} = await connectToDatabase();
+    const recorder = new AnswerRecorder();
     await connection.run(seriesBatch(20_000), recorder);
     expect(recorder.chunks.length).toBeGreaterThan(1);
     expect(recorder.startedAt).toEqual({term: 1, offset: 1});
   });
 
-  it('reports failure and the transaction with the answer', async () => {
-    const {connection} = await start();
+  it('returns failure and transaction status with the answer', async () => {
+    const {connection} = await connectToDatabase();
     const run = (sql: string) =>
-      connection.run(serialize.query(sql), new Recorder());
+      connection.run(serialize.query(sql), new AnswerRecorder());
     expect((await run('BEGIN')).transaction).toBe('open');
     expect(await run('VACUUM')).toMatchObject({
       failed: true,
@@ -113,8 +113,8 @@
     expect(connection.usable).toBe(true);
   });
 
-  it('refuses to start with a wrong password', async () => {
-    const {database} = await start();
+  it('fails to connect with a wrong password', async () => {
+    const {database} = await connectToDatabase();
     await expect(connect(database.port, 'wrong')).rejects.toMatchObject({
       kind: 'refused',
       code: '28P01',
@@ -122,7 +122,7 @@
   });
 
   it('reports an unreachable database as not sent', async () => {
-    const {database} = await start();
+    const {database} = await connectToDatabase();
     await database.close();
     await expectFailure(connect(database.port), 'notSent');
   });
@@ -134,7 +134,7 @@
     const total = 64 * rows.length;
     let sent = 0;
     let received = 0;
-    const connection = await startScripted(socket => {
+    const connection = await connectToFake(socket => {
       const send = () => {
         while (sent < total && socket.write(rows)) sent += rows.length;
         if (sent >= total) socket.write(READY);
@@ -144,7 +144,7 @@
     });
     await connection.run(serialize.query('SELECT 1'), {
       onFrames: async frames => {
-        // Without back-pressure all would be sent during these rounds.
+        // Without backpressure everything would be sent during these rounds.
         const rounds = received === 0 ? 5000 : 0;
         for (let round = 0; round < rounds; round++) await setImmediate();
         if (received === 0) expect(sent).toBeLessThan(total);
@@ -154,9 +154,9 @@
     expect(received).toBe(total);
   });
 
-  it('is not reused once its answer was abandoned at the start', async () => {
-    const {connection} = await start();
-    const recorder = new Recorder();
+  it('is not reused after its answer was abandoned at the start', async () => {
+    const {connection} = await connectToDatabase();
+    const recorder = new AnswerRecorder();
     const onFrames = recorder.onFrames.bind(recorder);
     const abandoned = connection.run(serialize.query('SELECT 1'), {
       onStart: () => false,
@@ -171,8 +171,8 @@
     );
   });
 
-  it('is not reused once its observer failed', async () => {
-    const {connection} = await start();
+  it('is not reused after its observer failed', async () => {
+    const {connection} = await connectToDatabase();
     const failed = connection.run(serialize.query('SELECT 1'), {
       onFrames: () => {
         throw new Error('the caller left');
@@ -182,11 +182,11 @@
     expect(connection.usable).toBe(false);
   });
 
-  it('loses the batch when the database dies during it', async () => {
-    const {database, connection} = await start();
+  it('reports a batch as lost when the database closes during it', async () => {
+    const {database, connection} = await connectToDatabase();
     const sleeping = connection.run(
       serialize.query('SELECT pg_sleep(20)'),
-      new Recorder(),
+      new AnswerRecorder(),
     );
     const lost = expectFailure(sleeping, 'lost');
     await database.close();
@@ -194,16 +194,16 @@
     expect(connection.usable).toBe(false);
   });
 
-  it('notices while idle that the database closed it', async () => {
-    const {database, connection} = await start();
+  it('detects while idle that the database closed it', async () => {
+    const {database, connection} = await connectToDatabase();
     await queryRows(connection, 'SELECT 1');
     await database.close();
     await until(() => !connection.usable);
     await expectFailure(queryRows(connection, 'SELECT 1'), 'notSent');
   });
 
-  it('cancels what it runs and stays usable', async () => {
-    const {database, connection} = await start();
+  it('cancels the running batch and stays usable', async () => {
+    const {database, connection} = await connectToDatabase();
     const sleeping = queryRows(connection, 'SELECT pg_sleep(20)');
     const stopped = expectSqlstate(sleeping, '57014');
     await until(async () => (await countStatements(database)) > 0);
@@ -219,15 +219,15 @@
       buildFrame('G', Buffer.alloc(1), int16(0)),
       buildFrame('D', Buffer.alloc(5000)),
     ]) {
-      const connection = await startScripted(socket => socket.write(frame));
+      const connection = await connectToFake(socket => socket.write(frame));
       await expectFailure(queryRows(connection, 'SELECT 1'), 'lost');
       expect(connection.usable).toBe(false);
     }
   });
 
-  it('closes on an answer that nobody asked for', async () => {
+  it('closes on an unsolicited answer', async () => {
     let socket: net.Socket | undefined;
-    const connection = await startScripted(target => {
+    const connection = await connectToFake(target => {
       socket = target;
       target.write(READY);
     });
