--- a/src/callers/group-responder.ts
+++ b/src/callers/group-responder.ts
@@ -42,7 +42,7 @@
       await this.#answerAborted(req);
       return undefined;
     }
-    if (runner.isAborted) runner.clearAborted();
+    if (runner.isAborted) runner.endAbortedTransaction();
     const before = parameters.token;
     const {verdict} = await runner.run(req);
     if (verdict.kind !== 'done') return this.#sendVerdict(verdict);
@@ -56,7 +56,7 @@
     if (!onlyEndsTransaction(req.classification)) {
       return output.add(errorResponse(TRANSACTION_ABORTED));
     }
-    runner.clearAborted();
+    runner.endAbortedTransaction();
     await req.sink(rollbackAnswer(req.frames));
   }
 
--- a/src/callers/statement-runner.ts
+++ b/src/callers/statement-runner.ts
@@ -48,7 +48,7 @@
 
   /**
    * True if the transaction was rolled back before the caller ended it. Until
-   * then its remaining statements are refused: they must not run outside it.
+   * the caller does, its statements are refused: they must not run outside it.
    */
   get isAborted(): boolean {
     return this.#isAborted;
@@ -85,7 +85,7 @@
   }
 
   /** Ends an aborted transaction at the caller's COMMIT or ROLLBACK. */
-  clearAborted(): void {
+  endAbortedTransaction(): void {
     this.#isAborted = false;
     this.#transaction = 'idle';
   }
--- a/src/targets/answer-reader.ts
+++ b/src/targets/answer-reader.ts
@@ -28,7 +28,7 @@
    *
    * @throws TargetError `lost` if the observer abandons the answer
    */
-  async accept(frame: Frame): Promise<void> {
+  async add(frame: Frame): Promise<void> {
     if (frame.type === 'S') return this.#readParameter(frame);
     if (frame.type === 'E') this.#failed = true;
     if (!this.#started) this.#start();
@@ -46,7 +46,7 @@
   }
 
   /** Returns the batch's outcome, given the status in its ReadyForQuery. */
-  end(transaction: TransactionStatus): BatchEnd {
+  finish(transaction: TransactionStatus): BatchEnd {
     return {transaction, position: this.#position, failed: this.#failed};
   }
 
--- a/src/targets/connection-set.ts
+++ b/src/targets/control-connection-pool.ts
@@ -1,16 +1,17 @@
-/** A small pool of connections to one database, opened on demand. */
+/** A small pool of control connections to one database. */
 import {TargetError, type TargetConnection} from './types.js';
 
 /** Opens a connection, or rejects after `timeoutMs`. */
 export type OpenConnection = (timeoutMs: number) => Promise<TargetConnection>;
 
 /**
- * Runs tasks on at most `limit` connections, in the order of their calls.
+ * Runs tasks on at most `limit` connections, in the order of their calls, and
+ * opens a connection when a task needs one.
  *
  * A connection on which a task timed out is closed: otherwise a connection
  * that no longer answers would block all later tasks.
  */
-export class ConnectionSet {
+export class ControlConnectionPool {
   readonly #open: OpenConnection;
   readonly #limit: number;
   readonly #idle: TargetConnection[] = [];
@@ -23,7 +24,7 @@
     this.#open = open;
   }
 
-  /** Runs a task; `timeoutMs` includes waiting for a connection and opening it. */
+  /** Runs a task; `timeoutMs` includes the wait for a connection. */
   async run<T>(
     timeoutMs: number,
     task: (connection: TargetConnection, remainingMs: number) => Promise<T>,
--- a/src/targets/database-control.ts
+++ b/src/targets/database-control.ts
@@ -11,7 +11,7 @@
   parsePosition,
   type Position,
 } from '../session/position.js';
-import {ConnectionSet} from './connection-set.js';
+import {ControlConnectionPool} from './control-connection-pool.js';
 import {PgTargetConnection} from './pg-connection.js';
 import {queryRows, type TextRow} from './query-rows.js';
 import {TargetError} from './types.js';
@@ -49,8 +49,8 @@
  */
 export class PgDatabaseControl implements DatabaseControl {
   readonly spec: DatabaseSpec;
-  readonly #commandConnections: ConnectionSet;
-  readonly #confirmConnections: ConnectionSet;
+  readonly #commandConnections: ControlConnectionPool;
+  readonly #confirmConnections: ControlConnectionPool;
 
   constructor(spec: DatabaseSpec, options: PgDatabaseControlOptions) {
     this.spec = spec;
@@ -64,8 +64,11 @@
         database: CONTROL_DATABASE,
         timeoutMs,
       });
-    this.#commandConnections = new ConnectionSet(COMMAND_CONNECTIONS, open);
-    this.#confirmConnections = new ConnectionSet(
+    this.#commandConnections = new ControlConnectionPool(
+      COMMAND_CONNECTIONS,
+      open,
+    );
+    this.#confirmConnections = new ControlConnectionPool(
       options.confirmConnections ?? DEFAULT_CONFIRM_CONNECTIONS,
       open,
     );
--- a/src/targets/pg-connection.ts
+++ b/src/targets/pg-connection.ts
@@ -203,7 +203,7 @@
       if (frame.type === 'Z') {
         await answer.flush();
         this.#transaction = readTransactionStatus(frame);
-        return answer.end(this.#transaction);
+        return answer.finish(this.#transaction);
       }
       if (COPY_TYPES.has(frame.type)) {
         throw new TargetError(
@@ -211,7 +211,7 @@
           'the database started a COPY, which is not supported',
         );
       }
-      await answer.accept(frame);
+      await answer.add(frame);
     }
   }
 
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -23,7 +23,7 @@
 /** Transaction status of a session, as in ReadyForQuery. */
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
-/** The outcome of a batch. */
+/** The outcome of a batch, known at its ReadyForQuery. */
 export interface BatchEnd {
   readonly transaction: TransactionStatus;
   /** The log position that the database reported with the answer, if any. */
