--- a/src/home/answers.ts
+++ b/src/home/answers.ts
@@ -1,4 +1,4 @@
-/** Observers of a database's answers on their way to the caller. */
+/** Observers that check a database's answers before the caller gets them. */
 import {isReadCurrent} from '../routing/read-router.js';
 import {START_POSITION, type Position} from '../session/position.js';
 import {readErrorFields} from '../targets/frames.js';
@@ -6,12 +6,13 @@
 import type {PartSink} from './types.js';
 
 const COMMAND_COMPLETE = 0x43;
-/** Answers up to this size are sent in one piece, once they may count. */
-const STREAM_FROM_BYTES = 16_384;
+/** Answers up to this size are buffered whole until they are confirmed. */
+const STREAM_THRESHOLD_BYTES = 16_384;
 const ERROR_RESPONSE = 0x45;
 /**
- * What a database answers that is not, or is no longer, primary. As an error
- * that leaves the connection open it says that nothing was committed.
+ * SQLSTATEs of a database that is not, or is no longer, the primary:
+ * read_only_sql_transaction and admin_shutdown. If the connection stays open
+ * after such an error, nothing was committed.
  */
 const NOT_PRIMARY_SQLSTATES: ReadonlySet<string> = new Set(['25006', '57P01']);
 /** ParseComplete, BindComplete, CloseComplete, NoData, descriptions, notices. */
@@ -20,11 +21,10 @@
 );
 
 /**
- * Keeps a small answer back until it is certain that it may count. Of a larger
- * one the rows are passed on, and what follows from the first CommandComplete
- * is kept back.
+ * Buffers a small answer until it is confirmed. Streams the rows of a larger
+ * answer, and buffers it from the first CommandComplete on.
  */
-class CompletionHold {
+class CompletionBuffer {
   readonly #sink: PartSink;
   #held: Uint8Array[] = [];
   #heldBytes = 0;
@@ -35,22 +35,22 @@
     this.#sink = sink;
   }
 
-  /** Whether the caller has received a part of the answer. */
+  /** True if the caller has received a part of the answer. */
   get forwarded(): boolean {
     return this.#forwarded;
   }
 
-  async pass(frames: Uint8Array): Promise<void> {
-    if (this.#completed) return this.#keep(frames);
-    const cut = findFrame(frames, type => type === COMMAND_COMPLETE);
-    this.#completed = cut !== -1;
-    const rows = cut === -1 ? frames : frames.subarray(0, cut);
-    if (rows.length > 0) this.#keep(rows);
-    if (this.#heldBytes > STREAM_FROM_BYTES) await this.flush();
-    if (cut !== -1) this.#keep(frames.subarray(cut));
+  async append(frames: Uint8Array): Promise<void> {
+    if (this.#completed) return this.#buffer(frames);
+    const end = findFrame(frames, type => type === COMMAND_COMPLETE);
+    this.#completed = end !== -1;
+    const rows = end === -1 ? frames : frames.subarray(0, end);
+    if (rows.length > 0) this.#buffer(rows);
+    if (this.#heldBytes > STREAM_THRESHOLD_BYTES) await this.flush();
+    if (end !== -1) this.#buffer(frames.subarray(end));
   }
 
-  /** Hands on what was kept back, as one part. */
+  /** Sends the buffered frames as one part. */
   async flush(): Promise<void> {
     const held = this.#held;
     if (held.length === 0) return;
@@ -63,84 +63,84 @@
     );
   }
 
-  #keep(frames: Uint8Array): void {
+  #buffer(frames: Uint8Array): void {
     this.#held.push(frames);
     this.#heldBytes += frames.length;
   }
 }
 
 /**
- * The answer to a read. It is dropped whole if the database turns out at its
- * start not to show what the session must see.
+ * The answer to a read. It is discarded if the database reports at its start a
+ * position that is too old for the session.
  */
 export class ReadAnswer implements AnswerObserver {
   readonly #token: Position | undefined;
-  readonly #hold: CompletionHold;
+  readonly #buffer: CompletionBuffer;
   readonly #accepts: (position: Position) => boolean;
   #position: Position | undefined;
   #stale = false;
 
-  /** @param accepts Whether a database at this position may answer. */
+  /** @param accepts Returns whether a database at this position may answer. */
   constructor(
     token: Position | undefined,
     sink: PartSink,
     accepts: (position: Position) => boolean,
   ) {
     this.#token = token;
-    this.#hold = new CompletionHold(sink);
+    this.#buffer = new CompletionBuffer(sink);
     this.#accepts = accepts;
   }
 
-  /** Where the database stood when it ran the read. */
+  /** The log position of the database when it ran the read. */
   get position(): Position | undefined {
     return this.#position;
   }
 
-  /** Whether the answer was dropped. */
+  /** True if the answer was discarded. */
   get stale(): boolean {
     return this.#stale;
   }
 
-  /** Whether the caller has received a part of the answer. */
+  /** True if the caller has received a part of the answer. */
   get forwarded(): boolean {
-    return this.#hold.forwarded;
+    return this.#buffer.forwarded;
   }
 
   onStart(position: Position | undefined): boolean {
     this.#position = position;
-    const shows = isReadCurrent(position, this.#token);
-    this.#stale = !shows || !this.#accepts(position ?? START_POSITION);
+    const isCurrent = isReadCurrent(position, this.#token);
+    this.#stale = !isCurrent || !this.#accepts(position ?? START_POSITION);
     return true;
   }
 
   async onFrames(frames: Uint8Array): Promise<void> {
-    if (!this.#stale) await this.#hold.pass(frames);
+    if (!this.#stale) await this.#buffer.append(frames);
   }
 
-  /** Completes the answer towards the caller. */
+  /** Sends the rest of the answer to the caller. */
   flush(): Promise<void> {
-    return this.#hold.flush();
+    return this.#buffer.flush();
   }
 }
 
-/** The answer to a write, complete only once the write is acknowledged. */
+/** The answer to a write, completed once the write is acknowledged. */
 export class WriteAnswer implements AnswerObserver {
-  readonly #hold: CompletionHold;
-  /** Frames before the one that shows whether the database takes the write. */
+  readonly #buffer: CompletionBuffer;
+  /** Frames before the one that tells whether the write is accepted. */
   #prelude: Uint8Array[] | undefined = [];
   #startPosition: Position | undefined;
   #refused = false;
 
   constructor(sink: PartSink) {
-    this.#hold = new CompletionHold(sink);
+    this.#buffer = new CompletionBuffer(sink);
   }
 
-  /** Where the database stood before the write. */
+  /** The log position of the database before the write. */
   get startPosition(): Position | undefined {
     return this.#startPosition;
   }
 
-  /** Whether the database refused to be written to, and committed nothing. */
+  /** True if the database is not the primary and committed nothing. */
   get refused(): boolean {
     return this.#refused;
   }
@@ -152,47 +152,47 @@
 
   async onFrames(frames: Uint8Array): Promise<void> {
     if (this.#refused) return;
-    if (this.#prelude === undefined) return this.#hold.pass(frames);
+    if (this.#prelude === undefined) return this.#buffer.append(frames);
     this.#prelude.push(frames);
-    const at = findDecisive(frames);
+    const at = findEndOfPrelude(frames);
     if (at === -1) return;
-    this.#refused = isRefusal(frames.subarray(at));
-    await this.#passPrelude();
+    this.#refused = isNotPrimaryError(frames.subarray(at));
+    await this.#flushPrelude();
   }
 
-  /** Completes the answer towards the caller. */
+  /** Sends the rest of the answer to the caller. */
   async flush(): Promise<void> {
-    await this.#passPrelude();
-    await this.#hold.flush();
+    await this.#flushPrelude();
+    await this.#buffer.flush();
   }
 
-  async #passPrelude(): Promise<void> {
+  async #flushPrelude(): Promise<void> {
     const prelude = this.#prelude ?? [];
     this.#prelude = undefined;
     if (this.#refused) return;
-    for (const frames of prelude) await this.#hold.pass(frames);
+    for (const frames of prelude) await this.#buffer.append(frames);
   }
 }
 
-function isRefusal(frame: Uint8Array): boolean {
+function isNotPrimaryError(frame: Uint8Array): boolean {
   if (frame[0] !== ERROR_RESPONSE) return false;
   const {code} = readErrorFields(Buffer.from(frame));
   return NOT_PRIMARY_SQLSTATES.has(code);
 }
 
-/** The offset of the first frame that is not a prelude; -1 if all are. */
-function findDecisive(frames: Uint8Array): number {
+/** Returns the offset of the first frame after the prelude, or -1. */
+function findEndOfPrelude(frames: Uint8Array): number {
   return findFrame(frames, type => !PRELUDE_TYPES.has(type));
 }
 
-/** The offset of the first frame whose type fits; -1 if there is none. */
+/** Returns the offset of the first frame whose type matches, or -1. */
 function findFrame(
   frames: Uint8Array,
-  fits: (type: number) => boolean,
+  matches: (type: number) => boolean,
 ): number {
   const view = new DataView(frames.buffer, frames.byteOffset, frames.length);
   for (let at = 0; at < frames.length; at += 1 + view.getInt32(at + 1)) {
-    if (fits(frames[at] ?? 0)) return at;
+    if (matches(frames[at] ?? 0)) return at;
   }
   return -1;
 }
--- a/src/home/statement-runs.ts
+++ b/src/home/batch-runs.ts
@@ -1,4 +1,4 @@
-/** The batches that run on a group's databases at this moment. */
+/** The batches that are running on a group's databases. */
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import {
@@ -8,87 +8,88 @@
   type TargetConnection,
 } from '../targets/types.js';
 
-/** How long a cancel request may take before its connection is closed. */
+/** Time between a cancel request and closing the connection. */
 const CANCEL_GRACE_MS = 50;
 
 /** One batch on one connection. */
-export interface StatementRun {
+export interface BatchRun {
   readonly sessionId: string;
   readonly databaseId: string;
   readonly connection: TargetConnection;
   readonly frames: Uint8Array;
   readonly observer: AnswerObserver;
-  /** When nobody waits any more, on the node's monotonic clock. */
+  /** The caller's deadline, on the node's monotonic clock. */
   readonly deadlineAt: number;
-  /** Aborts when nobody waits any more before the deadline. */
+  /** Aborts when the answer is no longer needed. */
   readonly signal?: AbortSignal;
-  /** When to call `onSlow`, if the batch still runs then. */
+  /** Time at which `onSlow` is called if the batch is still running. */
   readonly slowAt?: number;
   readonly onSlow?: () => void;
 }
 
-/** Runs batches no longer than somebody waits for them. */
-export class StatementRuns {
+/** Runs batches and cancels them when their caller no longer waits. */
+export class BatchRuns {
   readonly #clock: Clock;
-  /** What runs, with the cancel requests on their way to each. */
-  readonly #running = new Map<StatementRun, Promise<void>[]>();
+  /** Running batches, each with its cancel requests in flight. */
+  readonly #running = new Map<BatchRun, Promise<void>[]>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   /**
-   * Runs a batch; once nobody waits for it, it is cancelled and the connection
-   * closed, so that an answer nobody waits for can never meet another request
-   * and the database does not go on working for nobody.
+   * Runs a batch. If its caller stops waiting, cancels it at the database, to
+   * save work, and closes the connection unless the batch ends soon, so that a
+   * late answer is never taken for that of another request.
    *
-   * @throws TargetError `lost` when nobody waits or the connection ended
+   * @throws TargetError `lost` if the caller stopped waiting or the connection
+   * was lost
    */
-  async run(run: StatementRun): Promise<BatchEnd> {
+  async run(run: BatchRun): Promise<BatchEnd> {
     const {connection, frames, observer, signal} = run;
     const cancels: Promise<void>[] = [];
-    let given: string | undefined;
-    const giveUp = (reason: string) => {
-      if (given !== undefined) return;
-      given = reason;
+    let abandonReason: string | undefined;
+    const abandonRun = (reason: string) => {
+      if (abandonReason !== undefined) return;
+      abandonReason = reason;
       stopTimer();
       cancels.push(connection.cancel());
       stopTimer = startTimer(this.#clock, CANCEL_GRACE_MS, () =>
         connection.close(),
       );
     };
-    const onAbort = () => giveUp('its answer is not wanted any more');
-    let stopTimer = this.#startTimers(run, giveUp);
+    const onAbort = () => abandonRun('its answer is not wanted any more');
+    let stopTimer = this.#startTimers(run, abandonRun);
     signal?.addEventListener('abort', onAbort, {once: true});
     this.#running.set(run, cancels);
     try {
       const end = await connection.run(frames, {
         onStart: position => observer.onStart?.(position) ?? true,
         onFrames: part =>
-          given === undefined ? observer.onFrames(part) : undefined,
+          abandonReason === undefined ? observer.onFrames(part) : undefined,
       });
-      if (given === undefined) return end;
+      if (abandonReason === undefined) return end;
     } catch (err) {
-      if (given === undefined) throw err;
+      if (abandonReason === undefined) throw err;
     } finally {
       stopTimer();
       signal?.removeEventListener('abort', onAbort);
       this.#running.delete(run);
-      // A cancel request still on its way would stop the next batch instead.
+      // A cancel request still in flight could cancel the next batch instead.
       if (connection.usable) await Promise.all(cancels);
     }
-    throw new TargetError('lost', given ?? '');
+    throw new TargetError('lost', abandonReason ?? '');
   }
 
-  /** One timer at a time: nearly all are cancelled. */
+  /** Runs one timer at a time, as nearly all timers are cancelled unused. */
   #startTimers(
-    {slowAt, onSlow, deadlineAt}: StatementRun,
-    giveUp: (reason: string) => void,
+    {slowAt, onSlow, deadlineAt}: BatchRun,
+    abandonRun: (reason: string) => void,
   ): () => void {
     const clock = this.#clock;
     const untilDeadline = () =>
       startTimer(clock, deadlineAt - clock.now(), () =>
-        giveUp('no answer came within the deadline'),
+        abandonRun('no answer came within the deadline'),
       );
     if (slowAt === undefined) return untilDeadline();
     let stop = startTimer(clock, slowAt - clock.now(), () => {
@@ -98,14 +99,14 @@
     return () => stop();
   }
 
-  /** Asks the database to stop what a session runs. */
+  /** Requests the database to cancel a session's running batch. */
   cancel(sessionId: string): void {
     for (const [run, cancels] of this.#running) {
       if (run.sessionId === sessionId) cancels.push(run.connection.cancel());
     }
   }
 
-  /** Gives up what runs on a database that no longer answers. */
+  /** Closes the connections of all batches that run on a database. */
   abandon(databaseId: string): void {
     for (const run of this.#running.keys()) {
       if (run.databaseId === databaseId) run.connection.close();
--- a/src/home/bound-connection.ts
+++ b/src/home/bound-connection.ts
@@ -1,4 +1,4 @@
-/** A database connection of one team and what it is set up for. */
+/** A database connection of one team and the session state it carries. */
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import type {Position} from '../session/position.js';
@@ -11,26 +11,26 @@
   PreparedShape,
 } from '../statements/types.js';
 import {TargetError, type TransactionStatus} from '../targets/types.js';
-import type {LaneConnection} from './lane.js';
+import type {PooledConnection} from './connection-pool.js';
 
-/** The values of a session by name, in the order in which they were set. */
+/** The settings of a session (name to value) in the order they were set. */
 export type SessionValues = Readonly<Record<string, string>>;
 
 /**
- * Knows which session values and prepared statements a connection holds, and
- * brings it in line with a session before that session's statement runs.
+ * Tracks the session values and prepared statements on a connection that many
+ * sessions share, and sends what differs before a session's statement runs.
  *
  * @example
  * await connection.prepareFor(values, statement.prepared, 500);
  * const [reply] = await connection.run([connection.commandFor(statement)], 500);
  */
-export class BoundConnection implements LaneConnection {
+export class TeamConnection implements PooledConnection {
   readonly team: string;
   readonly #clock: Clock;
   readonly #connection: StatementConnection;
   readonly #values = new Map<string, string>();
-  readonly #names = new Map<string, string>();
-  /** When it last answered, on the node's monotonic clock. */
+  readonly #preparedNames = new Map<string, string>();
+  /** Time of the last answer, on the node's monotonic clock. */
   lastAnswerAt: number;
 
   constructor(clock: Clock, team: string, connection: StatementConnection) {
@@ -53,7 +53,7 @@
   }
 
   /**
-   * Asks the database for its state; undefined while it is too busy to say.
+   * Queries the database's state; undefined if it is too busy to answer.
    *
    * @throws TargetError `notSent` or `lost`
    */
@@ -65,31 +65,31 @@
     this.#connection.onClose(listener);
   }
 
-  /** Whether it holds exactly these values. */
-  holds(values: SessionValues): boolean {
+  /** True if exactly these session values are set. */
+  hasExactly(values: SessionValues): boolean {
     const wanted = Object.entries(values);
     if (wanted.length !== this.#values.size) return false;
     return wanted.every(([name, value]) => this.#values.get(name) === value);
   }
 
-  /** Whether it holds no values at all. */
-  get isBlank(): boolean {
+  /** True if no session values are set. */
+  get hasNoValues(): boolean {
     return this.#values.size === 0;
   }
 
   /**
-   * Sets it up for a session and its statement; sends nothing if it is.
+   * Sets the session's values and prepares its statement, unless already done.
    *
-   * @throws TargetError `notSent` if the database refused a part of it
+   * @throws TargetError `notSent` if the database refused one of the commands
    */
-  async prepareFor(
+  async applySession(
     values: SessionValues,
     prepared: PreparedShape | undefined,
     timeoutMs: number,
   ): Promise<void> {
     const commands = [
-      ...this.#alignValues(values),
-      ...this.#alignPrepared(prepared),
+      ...this.#commandsForValues(values),
+      ...this.#commandsForPrepared(prepared),
     ];
     if (commands.length === 0) return;
     const replies = await this.run(commands, timeoutMs);
@@ -102,16 +102,17 @@
     );
   }
 
-  /** The command that runs a statement here, once it is set up for it. */
+  /** Returns the command that runs a statement; call `applySession` first. */
   commandFor(statement: CallerStatement, after?: Position): DatabaseCommand {
     const {prepared} = statement;
-    const preparedName = prepared && this.#names.get(nameKey(prepared));
+    const preparedName =
+      prepared && this.#preparedNames.get(shapeKey(prepared));
     return {kind: 'run', statement, preparedName, after};
   }
 
   /**
-   * Runs commands; closes the connection if they are not answered in time, so
-   * that a late answer can't meet another request.
+   * Runs commands. Closes the connection on a timeout, so that a late answer is
+   * never taken for that of another request.
    *
    * @throws TargetError `notSent` or `lost`
    */
@@ -129,8 +130,8 @@
     }
   }
 
-  /** Whether it still answers; it holds nothing afterwards. */
-  async isAlive(timeoutMs: number): Promise<boolean> {
+  /** Resets the session state; returns whether the connection still answers. */
+  async resetAndCheck(timeoutMs: number): Promise<boolean> {
     try {
       const [reply] = await this.run([this.#reset()], timeoutMs);
       return reply?.kind === 'done' && this.usable;
@@ -139,10 +140,10 @@
     }
   }
 
-  #alignValues(values: SessionValues): readonly DatabaseCommand[] {
+  #commandsForValues(values: SessionValues): readonly DatabaseCommand[] {
     const commands: DatabaseCommand[] = [];
-    const isSurplus = (name: string) => !Object.hasOwn(values, name);
-    if ([...this.#values.keys()].some(isSurplus)) commands.push(this.#reset());
+    const isObsolete = (name: string) => !Object.hasOwn(values, name);
+    if ([...this.#values.keys()].some(isObsolete)) commands.push(this.#reset());
     for (const [name, value] of Object.entries(values)) {
       if (this.#values.get(name) === value) continue;
       this.#values.set(name, value);
@@ -151,24 +152,24 @@
     return commands;
   }
 
-  #alignPrepared(
+  #commandsForPrepared(
     prepared: PreparedShape | undefined,
   ): readonly DatabaseCommand[] {
     if (prepared === undefined) return [];
-    const key = nameKey(prepared);
-    if (this.#names.has(key)) return [];
-    const name = `p${this.#names.size + 1}`;
-    this.#names.set(key, name);
+    const key = shapeKey(prepared);
+    if (this.#preparedNames.has(key)) return [];
+    const name = `p${this.#preparedNames.size + 1}`;
+    this.#preparedNames.set(key, name);
     return [{kind: 'prepare', name, shape: prepared}];
   }
 
   #reset(): DatabaseCommand {
     this.#values.clear();
-    this.#names.clear();
+    this.#preparedNames.clear();
     return {kind: 'reset'};
   }
 }
 
-function nameKey({access, shape}: PreparedShape): string {
+function shapeKey({access, shape}: PreparedShape): string {
   return `${access} ${shape}`;
 }
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -1,6 +1,8 @@
 /**
- * The home of a database group whose databases certify their own positions:
- * all of the group's statements pass here.
+ * The home of a database group: all of the group's statements run through it.
+ *
+ * The primary certifies log positions: each proves that the position includes
+ * every commit acknowledged before a given time. Reads at replicas use them.
  */
 import {OPEN_TEAM, type Catalog, type DatabaseEntry} from '../catalog/types.js';
 import type {FailoverDuty, FailoverOrders} from '../groups/failover-duty.js';
@@ -14,7 +16,7 @@
 import type {StatementConnector} from '../statements/connection.js';
 import type {Logger} from '../telemetry/log.js';
 import {notRun, type Verdict} from '../verdict/verdict.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import {CertifiedReads} from './certified-reads.js';
 import {GroupMember} from './group-member.js';
 import type {HomeContext} from './home-context.js';
@@ -33,28 +35,29 @@
 import {WriteGate} from './write-gate.js';
 
 /**
- * Share of a database's connections for the node that does most of its work,
- * and for any other. A database keeps the connections of a lost node for some
- * seconds, in which the next one needs as many.
+ * Share of a database's connections for the node that sends it most of its
+ * work, and for any other node. A database keeps the connections of a lost
+ * node open for some seconds, while the node that takes over needs as many.
  */
-const MAIN_SHARE = 0.5;
-const OTHER_SHARE = 0.3;
+const MAIN_NODE_SHARE = 0.5;
+const OTHER_NODE_SHARE = 0.3;
 const MIN_CONNECTIONS = 2;
 /**
- * A database that vanished from the list may be back about two seconds after
- * the store's return; until then it is kept.
+ * How long a database whose announcement expired in a store outage is kept. It
+ * is announced again about two seconds after the store is back.
  */
-const VANISHED_GRACE_MS = 2_500;
-/** How often a certificate is fetched where no statement brings one. */
-const CERTIFICATE_PERIOD_MS = 400;
-/** A connection whose rollback takes longer is closed, which rolls back too. */
+const MISSING_GRACE_MS = 2_500;
+/** Maximum age of the newest certificate before one is fetched. */
+const CERTIFICATE_REFRESH_MS = 400;
+/** After this the connection is closed, which rolls back as well. */
 const ROLL_BACK_TIMEOUT_MS = 1_000;
 const DEFAULT_WEIGHT = 1;
-/** When to come back while a primary is being named, and otherwise. */
-const CHANGING_RETRY_MS = 500;
+/** Retry delay while a new primary is being promoted. */
+const FAILOVER_RETRY_MS = 500;
+/** Retry delay without a primary otherwise. */
 const NO_PRIMARY_RETRY_MS = 1_000;
 
-/** Settings of a certified home. */
+/** Options of a certified home. */
 export interface CertifiedHomeOptions {
   readonly clock: Clock;
   readonly log: Logger;
@@ -66,35 +69,37 @@
   readonly quota: Pick<BudgetHolder, 'admit'>;
   readonly duty: FailoverDuty;
   readonly orders: FailoverOrders;
-  /** Whether this node is the first choice as the group's home. */
+  /** Returns whether this node is the first choice as the group's home. */
   readonly isFirstHome: () => boolean;
-  /** The node that serves the group's reads in a data centre, if any does. */
+  /** Returns the node that serves the group's reads in a data centre. */
   readonly readerIn: (dataCentre: string) => string | undefined;
-  /** Whether this node is the one to name a primary where that is needed. */
+  /** Returns whether this node is the one to promote a new primary. */
   readonly isResponsible: () => boolean;
-  /** Whether the list of databases may lack some without their fault. */
+  /** Returns whether announcements may have expired in a store outage. */
   readonly mayHaveLapsed: () => boolean;
 }
 
 /**
+ * Runs the statements of one group and keeps its primary available.
+ *
  * @example
  * const home = new CertifiedHome(options);
  * home.start();
- * home.applyEntry(entry);
+ * home.applyDatabase(entry);
  * const result = await home.execute(req, signal);
  */
 export class CertifiedHome {
   readonly #options: CertifiedHomeOptions;
   readonly #members = new Map<string, GroupMember>();
-  readonly #vanished = new Map<string, number>();
+  readonly #missingSince = new Map<string, number>();
   readonly #leadership = new Leadership();
   readonly #certificates = new PositionCertificates();
-  readonly #transactions: OpenTransactions<BoundConnection, OpenTransaction>;
+  readonly #transactions: OpenTransactions<TeamConnection, OpenTransaction>;
   readonly #gate: WriteGate;
   readonly #keeper: PrimaryKeeper;
   readonly #reads: CertifiedReads;
   readonly #writes: PrimaryWrites;
-  readonly #pinned: TransactionStatements;
+  readonly #transactionStatements: TransactionStatements;
   readonly #stopping = new AbortController();
   #running = 0;
   #lastUsedAt: number;
@@ -103,16 +108,14 @@
     const {clock, log, group, catalog} = options;
     this.#options = options;
     this.#lastUsedAt = clock.now();
-    this.#transactions = new OpenTransactions<BoundConnection, OpenTransaction>(
-      {
-        clock,
-        maxIdleMs: () => catalog().idleTransactionMs,
-        rollBack: connection =>
-          connection.run([{kind: 'rollback'}], ROLL_BACK_TIMEOUT_MS),
-        onIdleEnd: ({sessionId}) =>
-          log.info('idleTransactionEnded', {group, session: sessionId}),
-      },
-    );
+    this.#transactions = new OpenTransactions<TeamConnection, OpenTransaction>({
+      clock,
+      maxIdleMs: () => catalog().idleTransactionMs,
+      rollBack: connection =>
+        connection.run([{kind: 'rollback'}], ROLL_BACK_TIMEOUT_MS),
+      onIdleTimeout: ({sessionId}) =>
+        log.info('idleTransactionEnded', {group, session: sessionId}),
+    });
     this.#gate = new WriteGate({
       clock,
       openTransactions: () => this.#transactions.size,
@@ -132,15 +135,15 @@
     };
     this.#reads = new CertifiedReads(ctx);
     this.#writes = new PrimaryWrites(ctx);
-    this.#pinned = new TransactionStatements(ctx);
+    this.#transactionStatements = new TransactionStatements(ctx);
   }
 
-  /** Statements that run now, and transactions that are open. */
+  /** Number of running statements and open transactions. */
   get active(): number {
     return this.#running + this.#transactions.size;
   }
 
-  /** How long it has had nothing to do. */
+  /** Time without running statements or open transactions, in milliseconds. */
   get idleMs(): number {
     if (this.active > 0) return 0;
     return this.#options.clock.now() - this.#lastUsedAt;
@@ -150,14 +153,14 @@
     const {signal} = this.#stopping;
     this.#transactions.start();
     void this.#keeper.run(signal);
-    void this.#keepCertified(signal);
+    void this.#refreshCertificates(signal);
   }
 
   /** Stops at once; open transactions are rolled back. */
   stop(): void {
     this.#stopping.abort();
     this.#transactions.stop();
-    for (const {lane} of this.#members.values()) lane.close();
+    for (const {pool} of this.#members.values()) pool.close();
     void this.#options.duty.release(this.#options.group);
   }
 
@@ -166,9 +169,9 @@
     this.#transactions.release(pin);
   }
 
-  /** Takes what a database announced. */
-  applyEntry(entry: DatabaseEntry): void {
-    this.#vanished.delete(entry.id);
+  /** Adds a database or updates it from its announcement. */
+  applyDatabase(entry: DatabaseEntry): void {
+    this.#missingSince.delete(entry.id);
     const known = this.#members.get(entry.id);
     const isSame =
       known !== undefined &&
@@ -185,15 +188,15 @@
     this.#leadership.noteAnnounced(entry.id, entry.role, now);
   }
 
-  /** Takes that a database's announcement is gone. */
-  removeEntry(id: string): void {
+  /** Removes a database whose announcement is gone, or expired. */
+  removeDatabase(id: string): void {
     const known = this.#members.get(id);
     if (known === undefined) return;
     if (!this.#options.mayHaveLapsed()) return this.#drop(id, known, 'gone');
-    this.#vanished.set(id, this.#options.clock.now());
+    this.#missingSince.set(id, this.#options.clock.now());
   }
 
-  /** Runs one statement; every failure is in the result's verdict. */
+  /** Runs one statement. Never rejects: the verdict holds any failure. */
   async execute(
     req: StatementRequest,
     signal: AbortSignal,
@@ -210,14 +213,14 @@
     }
   }
 
-  /** What the home knew when it gave a statement up. */
+  /** Logs a failed statement with the state of the home. */
   #logFailure(
     req: StatementRequest,
     verdict: Exclude<Verdict, {kind: 'done'}>,
   ): void {
     const {clock, log, group, isFirstHome} = this.#options;
     const leader = this.#members.get(this.#leadership.leaderId ?? '');
-    const age = clock.now() - this.#certificates.newestAt;
+    const ageMs = clock.now() - this.#certificates.newestAt;
     log.info('statementGivenUp', {
       request: req.statement.requestId,
       group,
@@ -230,10 +233,10 @@
       message: verdict.message,
       isFirstHome: isFirstHome(),
       leader: leader?.id,
-      leaderQueue: leader?.lane.outstanding,
+      leaderQueue: leader?.pool.outstanding,
       leaderSilentMs: leader && Math.round(leader.health.silentMs),
-      leaderPinned: leader?.lane.pinned,
-      certificateAgeMs: Math.round(age),
+      leaderPinned: leader?.pool.pinned,
+      certificateAgeMs: Math.round(ageMs),
       databases: this.#members.size,
     });
   }
@@ -242,25 +245,26 @@
     req: StatementRequest,
     signal: AbortSignal,
   ): Promise<StatementResult> {
-    if (req.pin !== undefined) return this.#pinned.run(req, req.pin);
+    if (req.pin !== undefined)
+      return this.#transactionStatements.run(req, req.pin);
     const now = this.#options.clock.now();
     const attempt = {
       req,
       signal,
       arrivedAt: now,
-      aimAt: now + req.aimMs,
+      latencyGoalAt: now + req.aimMs,
       deadlineAt: now + req.deadlineMs,
     };
     const isRead = req.kind === 'read' && req.opens === undefined;
-    const hopeless = this.#hopelessVerdict(attempt);
-    if (hopeless !== undefined) return failedStatement(hopeless);
+    const refusal = this.#earlyRefusal(attempt);
+    if (refusal !== undefined) return failedStatement(refusal);
     const quota = await this.#admit(req);
     if (quota.kind === 'refused') {
-      const isOver = quota.reason === 'overRate';
-      const message = isOver
+      const isOverRate = quota.reason === 'overRate';
+      const message = isOverRate
         ? `team ${req.team} is over its rate`
         : `the budget of team ${req.team} can't be reached`;
-      const reason = isOver ? 'rateLimited' : 'budgetUnavailable';
+      const reason = isOverRate ? 'rateLimited' : 'budgetUnavailable';
       return failedStatement(notRun(reason, message, quota.retryAfterMs));
     }
     if (isRead) return this.#reads.run(attempt);
@@ -268,16 +272,16 @@
     return this.#writes.run(attempt);
   }
 
-  /** Callers without a key belong to no team, so no rate holds for them. */
+  /** Callers without a key belong to no team and have no rate limit. */
   #admit({team}: StatementRequest): Promise<QuotaDecision> {
     if (team === OPEN_TEAM) return Promise.resolve({kind: 'admitted'});
     return this.#options.quota.admit(team);
   }
 
-  /** Refuses before a token is spent what no database can serve now. */
-  #hopelessVerdict(attempt: StatementAttempt): Verdict | undefined {
+  /** Refuses what no database can serve now, before a token is spent. */
+  #earlyRefusal(attempt: StatementAttempt): Verdict | undefined {
     const {req} = attempt;
-    if (req.nearOnly) return this.#reads.refuseNear(attempt);
+    if (req.nearOnly) return this.#reads.refuseIfNoneNearby(attempt);
     const needsPrimary =
       req.consistency === 'primary' ||
       (req.kind === 'write' && req.opens !== 'readOnly');
@@ -291,7 +295,7 @@
   }
 
   get #primaryRetryMs(): number {
-    return this.#keeper.isChanging ? CHANGING_RETRY_MS : NO_PRIMARY_RETRY_MS;
+    return this.#keeper.isChanging ? FAILOVER_RETRY_MS : NO_PRIMARY_RETRY_MS;
   }
 
   #createMember(entry: DatabaseEntry): GroupMember {
@@ -299,26 +303,26 @@
     return new GroupMember(entry, {
       clock,
       connector,
-      connectionShare: () => this.#connectionShare(entry.id),
+      connectionLimit: () => this.#connectionLimit(entry.id),
       weightOf: team => catalog().teams.get(team)?.rate ?? DEFAULT_WEIGHT,
       anyTeam: () => catalog().teams.keys().next().value,
     });
   }
 
-  #connectionShare(id: string): number {
+  #connectionLimit(id: string): number {
     const {catalog, group} = this.#options;
     const all = catalog().groups.get(group)?.maxConnections ?? 0;
-    const share = this.#doesMostOf(id) ? MAIN_SHARE : OTHER_SHARE;
+    const share = this.#isMainNodeFor(id) ? MAIN_NODE_SHARE : OTHER_NODE_SHARE;
     return Math.max(MIN_CONNECTIONS, Math.floor(all * share));
   }
 
-  /** Whether this node does most of a database's work. */
-  #doesMostOf(id: string): boolean {
+  /** True if this node sends a database most of its work. */
+  #isMainNodeFor(id: string): boolean {
     const {isFirstHome, readerIn, self} = this.#options;
-    const place = this.#members.get(id)?.entry.dataCentre;
+    const dataCentre = this.#members.get(id)?.entry.dataCentre;
     const isPrimary = this.#leadership.leaderId === id;
-    if (isPrimary || place === undefined) return isFirstHome();
-    const reader = readerIn(place);
+    if (isPrimary || dataCentre === undefined) return isFirstHome();
+    const reader = readerIn(dataCentre);
     return reader === undefined ? isFirstHome() : reader === self;
   }
 
@@ -328,17 +332,17 @@
       database: id,
       reason,
     });
-    member.lane.close();
+    member.pool.close();
     this.#members.delete(id);
-    this.#vanished.delete(id);
+    this.#missingSince.delete(id);
     this.#leadership.forget(id);
   }
 
-  #dropVanished(): void {
-    const oldest = this.#options.clock.now() - VANISHED_GRACE_MS;
-    for (const [id, since] of this.#vanished) {
+  #dropMissing(): void {
+    const oldestKept = this.#options.clock.now() - MISSING_GRACE_MS;
+    for (const [id, since] of this.#missingSince) {
       const member = this.#members.get(id);
-      if (member !== undefined && since < oldest)
+      if (member !== undefined && since < oldestKept)
         this.#drop(id, member, 'gone');
     }
   }
@@ -355,14 +359,14 @@
       orders,
       leadership: this.#leadership,
       databases: () => {
-        this.#dropVanished();
+        this.#dropMissing();
         return [...this.#members.values()].map(member => ({
           id: member.id,
           isDraining: member.entry.isDraining,
           isSuspect: member.health.isSuspect,
-          shown: member.shown,
-          askState: () => member.askState(),
-          askStateSoon: () => member.askStateSoon(),
+          shown: member.visiblePosition,
+          askState: () => member.queryStateOverNewConnection(),
+          askStateSoon: () => member.queryState(),
         }));
       },
       isResponsible,
@@ -370,23 +374,24 @@
         await this.#gate.holdWrites();
         return () => this.#gate.releaseWrites();
       },
-      onUnreachable: id => this.#members.get(id)?.abandon(),
+      onUnreachable: id => this.#members.get(id)?.closeConnections(),
       onPromoted: id => {
-        // A database that was ahead of the promoted one has been cut back.
-        for (const member of this.#members.values()) member.forgetShown();
+        // The log of a database ahead of the promoted one has been truncated.
+        for (const member of this.#members.values())
+          member.resetVisiblePosition();
         log.info('primaryInForce', {group, database: id});
       },
     });
   }
 
-  /** Certificates let replicas serve; statements at the primary bring most. */
-  async #keepCertified(signal: AbortSignal): Promise<void> {
+  /** Fetches a certificate when no statement at the primary brought one. */
+  async #refreshCertificates(signal: AbortSignal): Promise<void> {
     const {clock, catalog} = this.#options;
     while (!signal.aborted) {
-      await sleepToTick(clock, CERTIFICATE_PERIOD_MS, signal);
-      const age = clock.now() - this.#certificates.newestAt;
+      await sleepToTick(clock, CERTIFICATE_REFRESH_MS, signal);
+      const ageMs = clock.now() - this.#certificates.newestAt;
       const [team] = catalog().teams.keys();
-      if (age < CERTIFICATE_PERIOD_MS || team === undefined) continue;
+      if (ageMs < CERTIFICATE_REFRESH_MS || team === undefined) continue;
       await this.#reads.fetchCertificate(team);
     }
   }
--- a/src/home/certified-reads.ts
+++ b/src/home/certified-reads.ts
@@ -1,54 +1,53 @@
 /**
  * Runs reads whose freshness is proved by log positions.
  *
- * At the primary a read runs inside a transaction of its own, whose beginning
- * only a primary accepts. At a replica it asks for a position that covers all
- * it must see; a replica that lacks it refuses, and the read goes elsewhere.
+ * At the primary a read runs in a transaction of its own, which only a primary
+ * lets begin. At a replica the read names the position that it requires; a
+ * replica that has not applied it refuses, and the read tries another database.
  */
 import {laterPosition, type Position} from '../session/position.js';
 import type {DatabaseCommand, DatabaseReply} from '../statements/types.js';
 import {placeRead} from '../routing/read-placement.js';
 import {notRun, type NotRun, type Verdict} from '../verdict/verdict.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
-import type {Slot} from './lane.js';
+import type {Slot} from './connection-pool.js';
 import {
   acquireSlot,
   answered,
   connectionVerdict,
-  isNotRun,
+  wasRefused,
   noPrimary,
-  noteBegin,
+  recordBegin,
   readTimeoutMs,
-  tooManyTransactions,
+  tooManyTransactionsVerdict,
   type StatementAttempt,
 } from './statement-attempt.js';
 import {failedStatement, type StatementResult} from './statement-request.js';
 
-/** Databases that one read is tried at. */
+/** Maximum number of databases that one read tries. */
 const MAX_TRIES = 4;
 /**
- * What another data centre counts for: some 2 ms there and back, and as much
- * again for the bytes between data centres.
+ * Penalty for another data centre: a round trip of about 2 ms, and as much
+ * again for the traffic between data centres.
  */
-const REMOTE_DISTANCE_MS = 4;
+const REMOTE_PENALTY_MS = 4;
 const CERTIFICATE_TIMEOUT_MS = 300;
 /**
- * Statements a slot at a replica nearby before reads go to the group's home,
- * which knows the queues of the other databases: one that runs and one that
- * waits.
+ * Statements per slot of a nearby replica, one running and one waiting. Beyond
+ * that, reads go to the group's home, which knows the queues of all databases.
  */
-const NEAR_QUEUE = 2;
+const MAX_STATEMENTS_PER_SLOT = 2;
 const NO_DATABASE_RETRY_MS = 200;
 
-/** What one try came to; `undefined` where another database may serve. */
-interface Try {
+/** Outcome of one try; without a result another database may be tried. */
+interface TryOutcome {
   readonly result: StatementResult | undefined;
   readonly verdict: Verdict | undefined;
 }
 
-/** Runs the reads of one group. */
+/** Runs the certified reads of one group. */
 export class CertifiedReads {
   readonly #ctx: HomeContext;
 
@@ -56,44 +55,46 @@
     this.#ctx = ctx;
   }
 
-  /** Runs a read on its own. Never rejects. */
+  /** Runs a read outside a transaction. Never rejects. */
   run(attempt: StatementAttempt): Promise<StatementResult> {
-    return this.#tryInTurn(attempt, (member, slot, needed) =>
-      this.#readAt(attempt, member, slot, needed),
+    return this.#tryDatabases(attempt, (member, slot, required) =>
+      this.#readAt(attempt, member, slot, required),
     );
   }
 
   /** Opens a read-only transaction with its first statement. Never rejects. */
   open(attempt: StatementAttempt): Promise<StatementResult> {
-    return this.#tryInTurn(attempt, (member, slot, needed) =>
-      this.#openAt(attempt, member, slot, needed),
+    return this.#tryDatabases(attempt, (member, slot, required) =>
+      this.#openAt(attempt, member, slot, required),
     );
   }
 
   /**
-   * Refuses at once a read that no database in this data centre may serve
-   * soon; the group's home, which knows the others, is asked instead.
+   * Refuses a read at once if no database in this data centre can serve it
+   * soon; the entry then sends it to the group's home, which uses all of them.
    */
-  refuseNear(attempt: StatementAttempt): NotRun | undefined {
-    const needed = this.#neededBy(attempt);
-    const [id] = needed ? this.#place(attempt, needed, new Set()) : [];
+  refuseIfNoneNearby(attempt: StatementAttempt): NotRun | undefined {
+    const required = this.#requiredPosition(attempt);
+    const [id] = required
+      ? this.#rankDatabases(attempt, required, new Set())
+      : [];
     const member = this.#ctx.members.get(id ?? '');
     const isBusy =
       member !== undefined &&
-      member.lane.outstanding >= member.entry.slots * NEAR_QUEUE;
+      member.pool.outstanding >= member.entry.slots * MAX_STATEMENTS_PER_SLOT;
     if (member !== undefined && !isBusy) return undefined;
     const {group, dataCentre} = this.#ctx;
-    const what = isBusy ? 'has a free slot soon' : 'is fresh and answers';
-    const message = `no replica of group ${group} in ${dataCentre} ${what}`;
+    const lacking = isBusy ? 'has a free slot soon' : 'is fresh and answers';
+    const message = `no replica of group ${group} in ${dataCentre} ${lacking}`;
     return notRun('homeUnavailable', message, 0);
   }
 
-  /** Has the primary certify its position, for reads at replicas. */
+  /** Fetches a certificate of the primary's position for reads at replicas. */
   async fetchCertificate(team: string): Promise<void> {
     const {clock, leadership, members} = this.#ctx;
     const member = members.get(leadership.leaderId ?? '');
     if (member === undefined || !member.health.isReachable) return;
-    const acquired = await member.lane.acquire({
+    const acquired = await member.pool.acquire({
       team,
       priority: 'ordinary',
       deadlineAt: clock.now() + CERTIFICATE_TIMEOUT_MS,
@@ -103,13 +104,13 @@
     if (acquired.kind === 'refused') return;
     const {slot} = acquired;
     const sentAt = clock.now();
-    const end = member.begin(slot.connection);
+    const end = member.trackWork(slot.connection);
     try {
       const [begun] = await slot.connection.run(
         [{kind: 'begin', readOnly: false}, {kind: 'rollback'}],
         CERTIFICATE_TIMEOUT_MS,
       );
-      if (begun !== undefined) noteBegin(this.#ctx, member, begun, sentAt);
+      if (begun !== undefined) recordBegin(this.#ctx, member, begun, sentAt);
     } catch (err) {
       member.health.noteFailure();
       this.#ctx.log.info('certificateNotFetched', {
@@ -123,46 +124,47 @@
     }
   }
 
-  async #tryInTurn(
+  async #tryDatabases(
     attempt: StatementAttempt,
     runAt: (
       member: GroupMember,
-      slot: Slot<BoundConnection>,
-      needed: Position | undefined,
-    ) => Promise<Try>,
+      slot: Slot<TeamConnection>,
+      required: Position | undefined,
+    ) => Promise<TryOutcome>,
   ): Promise<StatementResult> {
     const {members, clock} = this.#ctx;
     const avoid = new Set<string>();
     let last: Verdict | undefined;
     for (let tries = 0; tries < MAX_TRIES; tries++) {
       if (attempt.signal.aborted || clock.now() >= attempt.deadlineAt) break;
-      const needed = this.#neededBy(attempt);
-      const [id] = this.#place(attempt, needed, avoid);
+      const required = this.#requiredPosition(attempt);
+      const [id] = this.#rankDatabases(attempt, required, avoid);
       const member = id === undefined ? undefined : members.get(id);
       if (member === undefined) break;
       avoid.add(member.id);
-      const isFirst = tries === 0 && attempt.aimAt > clock.now();
-      const queueUntil = isFirst ? attempt.aimAt : attempt.deadlineAt;
+      const isFirst = tries === 0 && attempt.latencyGoalAt > clock.now();
+      const queueUntil = isFirst ? attempt.latencyGoalAt : attempt.deadlineAt;
       const acquired = await acquireSlot(attempt, member, queueUntil);
       if (acquired.kind === 'refused') {
-        last = earlier(last, acquired.verdict);
+        last = soonerRetry(last, acquired.verdict);
         continue;
       }
-      const {result, verdict} = await runAt(member, acquired.slot, needed);
+      const {result, verdict} = await runAt(member, acquired.slot, required);
       if (result !== undefined) return result;
       last = verdict ?? last;
     }
-    return failedStatement(last ?? this.#noDatabase(attempt));
+    return failedStatement(last ?? this.#noDatabaseVerdict(attempt));
   }
 
   async #readAt(
     attempt: StatementAttempt,
     member: GroupMember,
-    slot: Slot<BoundConnection>,
-    needed: Position | undefined,
-  ): Promise<Try> {
+    slot: Slot<TeamConnection>,
+    required: Position | undefined,
+  ): Promise<TryOutcome> {
     const isPrimary = member.id === this.#ctx.leadership.leaderId;
-    if (!isPrimary && needed === undefined) return this.#deposed(member, slot);
+    if (!isPrimary && required === undefined)
+      return this.#releaseNotPrimary(member, slot);
     const {connection} = slot;
     const {statement} = attempt.req;
     const outcome = await this.#runOn(attempt, member, connection, () =>
@@ -172,37 +174,42 @@
             connection.commandFor(statement),
             {kind: 'rollback'},
           ]
-        : [connection.commandFor(statement, needed)],
+        : [connection.commandFor(statement, required)],
     );
     slot.release();
     if (!Array.isArray(outcome)) return outcome;
     const [begun] = outcome;
     const reply = isPrimary ? outcome[1] : begun;
     if (isPrimary && begun?.kind !== 'done') {
-      return {result: undefined, verdict: this.#notLeading(member)};
+      return {result: undefined, verdict: this.#notPrimary(member)};
     }
-    return this.#judge(member, reply, needed);
+    return this.#toOutcome(member, reply, required);
   }
 
   async #openAt(
     attempt: StatementAttempt,
     member: GroupMember,
-    slot: Slot<BoundConnection>,
-    needed: Position | undefined,
-  ): Promise<Try> {
+    slot: Slot<TeamConnection>,
+    required: Position | undefined,
+  ): Promise<TryOutcome> {
     const {leadership, transactions} = this.#ctx;
-    if (!member.lane.mayPin) {
+    if (!member.pool.mayPin) {
       slot.release();
-      return {result: undefined, verdict: tooManyTransactions(member.id)};
+      return {
+        result: undefined,
+        verdict: tooManyTransactionsVerdict(member.id),
+      };
     }
     const isPrimary = member.id === leadership.leaderId;
-    if (!isPrimary && needed === undefined) return this.#deposed(member, slot);
+    if (!isPrimary && required === undefined)
+      return this.#releaseNotPrimary(member, slot);
     const {connection} = slot;
     const {statement, sessionId} = attempt.req;
     const begin: DatabaseCommand = isPrimary
       ? {kind: 'begin', readOnly: false}
-      : {kind: 'begin', readOnly: true, after: needed};
-    // Not in one go: were the beginning refused, the statement would run alone.
+      : {kind: 'begin', readOnly: true, after: required};
+    // Sent on its own: if begin were refused, a statement sent along with it
+    // would run outside the transaction.
     const begun = await this.#runOn(attempt, member, connection, () => [begin]);
     const began = Array.isArray(begun) && begun[0]?.kind === 'done';
     const ran = began
@@ -218,16 +225,16 @@
     if (!began || reply?.kind !== 'done') {
       transactions.rollBack(slot);
       if (isPrimary && !began) {
-        return {result: undefined, verdict: this.#notLeading(member)};
+        return {result: undefined, verdict: this.#notPrimary(member)};
       }
-      return this.#judge(member, reply, needed);
+      return this.#toOutcome(member, reply, required);
     }
     if (statement.access === 'commit') {
       slot.release();
       return {result: answered(reply), verdict: undefined};
     }
     slot.pin();
-    const pin = transactions.keep({
+    const pin = transactions.add({
       slot,
       sessionId,
       databaseId: member.id,
@@ -239,32 +246,35 @@
     };
   }
 
-  /** The database lost the lead while the read waited for a slot there. */
-  #deposed(member: GroupMember, slot: Slot<BoundConnection>): Try {
+  /** Gives a slot back whose database lost the primary role meanwhile. */
+  #releaseNotPrimary(
+    member: GroupMember,
+    slot: Slot<TeamConnection>,
+  ): TryOutcome {
     slot.release();
-    return {result: undefined, verdict: this.#notLeading(member)};
+    return {result: undefined, verdict: this.#notPrimary(member)};
   }
 
-  /** Runs commands; a try that failed where the connection did. */
+  /** Runs commands; returns a failed try if the connection fails. */
   async #runOn(
     attempt: StatementAttempt,
     member: GroupMember,
-    connection: BoundConnection,
-    commands: () => readonly DatabaseCommand[],
-  ): Promise<DatabaseReply[] | Try> {
+    connection: TeamConnection,
+    createCommands: () => readonly DatabaseCommand[],
+  ): Promise<DatabaseReply[] | TryOutcome> {
     const {clock} = this.#ctx;
     const {values, statement} = attempt.req;
     const timeoutMs = readTimeoutMs(this.#ctx, attempt, member);
-    const end = member.begin(connection);
+    const end = member.trackWork(connection);
     try {
-      await connection.prepareFor(values, statement.prepared, timeoutMs);
+      await connection.applySession(values, statement.prepared, timeoutMs);
       const sentAt = clock.now();
-      const list = commands();
-      const replies = await connection.run(list, timeoutMs);
-      for (const reply of replies) member.noteReply(reply);
+      const commands = createCommands();
+      const replies = await connection.run(commands, timeoutMs);
+      for (const reply of replies) member.recordReply(reply);
       const [first] = replies;
-      if (list[0]?.kind === 'begin' && !list[0].readOnly && first) {
-        noteBegin(this.#ctx, member, first, sentAt);
+      if (commands[0]?.kind === 'begin' && !commands[0].readOnly && first) {
+        recordBegin(this.#ctx, member, first, sentAt);
       }
       return [...replies];
     } catch (err) {
@@ -280,17 +290,18 @@
     }
   }
 
-  #judge(
+  #toOutcome(
     member: GroupMember,
     reply: DatabaseReply | undefined,
-    needed: Position | undefined,
-  ): Try {
+    required: Position | undefined,
+  ): TryOutcome {
     if (reply === undefined) {
-      return {result: undefined, verdict: this.#notLeading(member)};
+      return {result: undefined, verdict: this.#notPrimary(member)};
     }
-    if (!isNotRun(reply)) return {result: answered(reply), verdict: undefined};
-    if (reply.kind === 'error' && reply.code === 'lagging' && needed) {
-      member.noteFellShort(needed);
+    if (!wasRefused(reply))
+      return {result: answered(reply), verdict: undefined};
+    if (reply.kind === 'error' && reply.code === 'lagging' && required) {
+      member.recordLagRefusal(required);
     }
     const code = reply.kind === 'error' ? reply.code : '';
     const message = `database ${member.id} refused the read: ${code}`;
@@ -300,21 +311,25 @@
     };
   }
 
-  #neededBy({req, arrivedAt}: StatementAttempt): Position | undefined {
+  #requiredPosition({req, arrivedAt}: StatementAttempt): Position | undefined {
     if (req.consistency === 'primary') return undefined;
     const covering = this.#ctx.certificates.covering(
       arrivedAt - req.maxStalenessMs,
     );
-    const isOwnNeeded = req.consistency === 'session';
-    if (covering === undefined || !isOwnNeeded || req.position === undefined) {
+    const readsOwnWrites = req.consistency === 'session';
+    if (
+      covering === undefined ||
+      !readsOwnWrites ||
+      req.position === undefined
+    ) {
       return covering;
     }
     return laterPosition(covering, req.position);
   }
 
-  #place(
+  #rankDatabases(
     {req}: StatementAttempt,
-    needed: Position | undefined,
+    required: Position | undefined,
     avoid: ReadonlySet<string>,
   ): readonly string[] {
     const {members, leadership, clock, dataCentre} = this.#ctx;
@@ -327,27 +342,27 @@
         id: member.id,
         isPrimary: member.id === leadership.leaderId,
         isReachable: member.health.isReachable,
-        outstanding: member.lane.outstanding,
+        outstanding: member.pool.outstanding,
         slots: member.entry.slots,
-        costMs: member.lane.costMs,
+        costMs: member.pool.costMs,
         openingMs: member.openingMs(req.team),
         distanceMs:
-          member.entry.dataCentre === dataCentre ? 0 : REMOTE_DISTANCE_MS,
-        shown: member.shown,
-        fellShort: member.fellShort,
+          member.entry.dataCentre === dataCentre ? 0 : REMOTE_PENALTY_MS,
+        shown: member.visiblePosition,
+        fellShort: member.lastLagRefusal,
       }));
     const isPrimaryOnly = req.consistency === 'primary';
     return placeRead({
       candidates: isPrimaryOnly
         ? candidates.filter(({isPrimary}) => isPrimary)
         : candidates,
-      needed,
+      needed: required,
       now: clock.now(),
       avoid,
     });
   }
 
-  #notLeading({id}: GroupMember): Verdict {
+  #notPrimary({id}: GroupMember): Verdict {
     return notRun(
       'noPrimary',
       `database ${id} does not lead its group`,
@@ -355,7 +370,7 @@
     );
   }
 
-  #noDatabase({req}: StatementAttempt): Verdict {
+  #noDatabaseVerdict({req}: StatementAttempt): Verdict {
     const {group, leadership} = this.#ctx;
     if (leadership.leaderId === undefined || req.consistency === 'primary') {
       return noPrimary(this.#ctx);
@@ -365,8 +380,8 @@
   }
 }
 
-/** Of two refusals the one after which the caller may come back sooner. */
-function earlier(a: Verdict | undefined, b: Verdict): Verdict {
+/** Returns the refusal after which the caller may retry sooner. */
+function soonerRetry(a: Verdict | undefined, b: Verdict): Verdict {
   if (a?.kind !== 'notRun' || b.kind !== 'notRun') return b;
   return (a.retryAfterMs ?? Infinity) < (b.retryAfterMs ?? Infinity) ? a : b;
 }
--- a/src/home/lane.ts
+++ b/src/home/connection-pool.ts
@@ -1,6 +1,6 @@
 /**
- * The way to one database: a fair queue in front of a small set of
- * connections. A slot is a connection together with the right to use it.
+ * A connection pool for one database, with a fair queue between teams. A slot
+ * is a connection together with the right to use it.
  */
 import {ConcurrencyLimit} from '../admission/concurrency-limit.js';
 import {FairQueue} from '../admission/fair-queue.js';
@@ -15,47 +15,47 @@
 import {notRun, type NotRun} from '../verdict/verdict.js';
 import {CANCELLED, type Priority} from './types.js';
 
-/** Weight of the newest sample in the average cost of a statement. */
+/** Weight of the newest sample in the average statement time. */
 const COST_SMOOTHING = 0.1;
 const INITIAL_COST_MS = 2;
-const RECONNECT_RETRY_MS = 100;
-/** Connections that open transactions may not take from other work. */
+const UNAVAILABLE_RETRY_MS = 100;
+/** Connections that open transactions must leave for other work. */
 const UNPINNED_RESERVE = 2;
 
-/** What a slot is wanted for. */
+/** A request for a slot. */
 export interface SlotRequest {
   readonly team: string;
   readonly priority: Priority;
-  /** When the caller gives up, on the node's monotonic clock. */
+  /** The caller's deadline, on the node's monotonic clock. */
   readonly deadlineAt: number;
-  /** Aborts when the caller cancels what it wants the slot for. */
+  /** Aborts when the caller cancels the statement. */
   readonly cancelled: AbortSignal;
 }
 
-/** The outcome of asking for a slot. */
+/** The outcome of a slot request. */
 export type SlotResult<C = TargetConnection> =
   | {readonly kind: 'granted'; readonly slot: Slot<C>}
   | {readonly kind: 'refused'; readonly verdict: NotRun};
 
-/** What a lane must know of a connection. */
-export interface LaneConnection {
-  /** False once closed or once an answer was abandoned. */
+/** A connection that a pool can hold. */
+export interface PooledConnection {
+  /** False once closed, or once an answer was abandoned. */
   readonly usable: boolean;
   readonly transaction: TransactionStatus;
   close(): void;
 }
 
-/** Supplies a lane with connections and keeps those that nobody uses. */
-export interface ConnectionSupply<C, Req> {
-  /** Connections that it keeps. */
+/** Opens connections for a pool and keeps the idle ones. */
+export interface ConnectionSource<C, Req> {
+  /** Number of idle connections. */
   readonly size: number;
   /**
-   * Takes a kept connection that suits the request, or opens one.
+   * Takes an idle connection that suits the request, or opens one.
    *
-   * @throws TargetError when there is none
+   * @throws TargetError when no connection can be opened
    */
   take(req: Req): Promise<C>;
-  /** Keeps a connection for its next use. */
+  /** Keeps an idle connection for its next use. */
   add(connection: C): void;
   closeAll(): void;
 }
@@ -63,21 +63,21 @@
 /** A connection in use. */
 export interface Slot<C = TargetConnection> {
   readonly connection: C;
-  /** Keeps the connection for an open transaction, out of the concurrency. */
+  /** Reserves the connection for an open transaction and frees its slot. */
   pin(): void;
-  /** Ends the use; an unusable connection is dropped. */
+  /** Returns the connection to the pool, or closes it if it is unusable. */
   release(): void;
 }
 
-/** Settings of a lane, whatever its connections. */
-export interface LaneOptions<C, Req> {
+/** Options of a connection pool. */
+export interface ConnectionPoolOptions<C, Req> {
   readonly clock: Clock;
   readonly spec: Pick<DatabaseSpec, 'id' | 'slots'>;
-  readonly supply: ConnectionSupply<C, Req>;
-  /** Connections that this node may hold to the database. */
-  readonly connectionShare: () => number;
+  readonly source: ConnectionSource<C, Req>;
+  /** Maximum number of connections of this node to the database. */
+  readonly connectionLimit: () => number;
   readonly weightOf: (team: string) => number;
-  /** Whether the database answered lately. */
+  /** Returns whether the database has answered recently. */
   readonly isReachable: () => boolean;
 }
 
@@ -92,11 +92,14 @@
  * Grants slots of one database, urgent work first, fairly between teams.
  *
  * @example
- * const result = await lane.acquire({team, priority, deadlineAt, cancelled});
+ * const result = await pool.acquire({team, priority, deadlineAt, cancelled});
  * if (result.kind === 'granted') await result.slot.connection.run(frames, observer);
  */
-export class Lane<C extends LaneConnection, Req extends SlotRequest> {
-  readonly #options: LaneOptions<C, Req>;
+export class ConnectionPool<
+  C extends PooledConnection,
+  Req extends SlotRequest,
+> {
+  readonly #options: ConnectionPoolOptions<C, Req>;
   readonly #queue: FairQueue<Waiter<C, Req>>;
   readonly #concurrency: ConcurrencyLimit;
   #running = 0;
@@ -104,77 +107,77 @@
   #costMs = INITIAL_COST_MS;
   #closed = false;
 
-  constructor(options: LaneOptions<C, Req>) {
+  constructor(options: ConnectionPoolOptions<C, Req>) {
     this.#options = options;
     this.#concurrency = new ConcurrencyLimit({
       slots: () => options.spec.slots,
-      connections: () => options.connectionShare() - this.#pinned,
+      connections: () => options.connectionLimit() - this.#pinned,
     });
     this.#queue = new FairQueue<Waiter<C, Req>>({
       clock: options.clock,
       weightOf: options.weightOf,
-      concurrency: () => this.#limit,
+      concurrency: () => this.#slotLimit,
     });
   }
 
-  /** Requests that it runs or that wait for it. */
+  /** Number of running and queued requests. */
   get outstanding(): number {
     return this.#running + this.#queue.size;
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get connections(): number {
-    return this.#options.supply.size + this.#running + this.#pinned;
+    return this.#options.source.size + this.#running + this.#pinned;
   }
 
-  /** Connections that open transactions keep. */
+  /** Number of connections reserved for open transactions. */
   get pinned(): number {
     return this.#pinned;
   }
 
-  /** Average time of a statement, in milliseconds. */
+  /** Average statement time, in milliseconds. */
   get costMs(): number {
     return this.#costMs;
   }
 
-  /** How many statements run at the same time. */
+  /** Maximum number of statements that run concurrently. */
   get concurrency(): number {
-    return this.#limit;
+    return this.#slotLimit;
   }
 
-  /** Waits for a slot, or says at once that there will be none in time. */
+  /** Waits for a slot; refuses at once if none will be free in time. */
   async acquire(req: Req): Promise<SlotResult<C>> {
     if (req.cancelled.aborted) return CANCELLED_RESULT;
     if (this.#closed) return this.#unavailable('is no longer in the group');
     if (!this.#options.isReachable()) {
       return this.#unavailable('does not answer');
     }
-    if (this.#queue.size === 0 && this.#hasRoom) {
+    if (this.#queue.size === 0 && this.#hasFreeSlot) {
       this.#running++;
       return this.#open(req);
     }
     return this.#enqueue(req);
   }
 
-  /** Opens nothing any more and closes what is idle. */
+  /** Grants no more slots and closes the idle connections. */
   close(): void {
     this.#closed = true;
-    this.#options.supply.closeAll();
+    this.#options.source.closeAll();
   }
 
-  get #limit(): number {
+  get #slotLimit(): number {
     return Math.max(1, this.#concurrency.value);
   }
 
-  get #hasRoom(): boolean {
-    return this.#running < this.#limit;
+  get #hasFreeSlot(): boolean {
+    return this.#running < this.#slotLimit;
   }
 
   #enqueue(req: Req): Promise<SlotResult<C>> {
     const {clock} = this.#options;
     return new Promise(resolve => {
-      const leftMs = req.deadlineAt - clock.now();
-      const stopTimer = startTimer(clock, leftMs, () => {
+      const remainingMs = req.deadlineAt - clock.now();
+      const stopTimer = startTimer(clock, remainingMs, () => {
         if (this.#queue.remove(waiter)) settle(this.#overloaded(this.#costMs));
       });
       const onCancel = () => {
@@ -199,24 +202,24 @@
     });
   }
 
-  /** Takes an idle connection or opens one; `#running` is counted already. */
+  /** Takes an idle connection or opens one; `#running` already counts it. */
   async #open(req: Req): Promise<SlotResult<C>> {
     try {
-      const connection = await this.#options.supply.take(req);
+      const connection = await this.#options.source.take(req);
       if (!req.cancelled.aborted) {
-        return {kind: 'granted', slot: this.#slot(connection)};
+        return {kind: 'granted', slot: this.#createSlot(connection)};
       }
-      this.keep(connection);
-      this.#leave();
+      this.returnConnection(connection);
+      this.#freeSlot();
       return CANCELLED_RESULT;
     } catch (err) {
-      this.#leave();
+      this.#freeSlot();
       const reason = err instanceof TargetError ? err.message : String(err);
       return this.#unavailable(`can't be reached: ${reason}`);
     }
   }
 
-  #slot(connection: C): Slot<C> {
+  #createSlot(connection: C): Slot<C> {
     const startedAt = this.#options.clock.now();
     let pinned = false;
     let released = false;
@@ -226,43 +229,43 @@
         if (pinned || released) return;
         pinned = true;
         this.#pinned++;
-        this.#leave();
+        this.#freeSlot();
       },
       release: () => {
         if (released) return;
         released = true;
-        this.keep(connection);
+        this.returnConnection(connection);
         if (pinned) {
           this.#pinned--;
           return this.#dispatch();
         }
-        this.#learnCost(this.#options.clock.now() - startedAt);
-        this.#leave();
+        this.#recordCost(this.#options.clock.now() - startedAt);
+        this.#freeSlot();
       },
     };
   }
 
-  /** Whether one more transaction may keep its connection. */
+  /** True if one more open transaction may reserve its connection. */
   get mayPin(): boolean {
-    const share = this.#options.connectionShare();
+    const share = this.#options.connectionLimit();
     return this.#pinned < Math.max(1, share - UNPINNED_RESERVE);
   }
 
-  /** Takes a connection back, if it is fit for another use. */
-  protected keep(connection: C): void {
-    const fits = this.connections < this.#options.connectionShare() + 1;
+  /** Keeps a connection as idle if it can be reused, or else closes it. */
+  protected returnConnection(connection: C): void {
+    const fits = this.connections < this.#options.connectionLimit() + 1;
     const clean = connection.usable && connection.transaction === 'idle';
     if (!clean || !fits || this.#closed) return connection.close();
-    this.#options.supply.add(connection);
+    this.#options.source.add(connection);
   }
 
-  #leave(): void {
+  #freeSlot(): void {
     this.#running--;
     this.#dispatch();
   }
 
   #dispatch(): void {
-    while (this.#queue.size > 0 && this.#hasRoom) {
+    while (this.#queue.size > 0 && this.#hasFreeSlot) {
       const taken = this.#queue.take();
       if (taken === undefined) return;
       if (taken.kind === 'expired') {
@@ -275,7 +278,7 @@
     }
   }
 
-  #learnCost(elapsedMs: number): void {
+  #recordCost(elapsedMs: number): void {
     this.#costMs += COST_SMOOTHING * (elapsedMs - this.#costMs);
   }
 
@@ -291,7 +294,7 @@
     const message = `database ${this.#options.spec.id} ${reason}`;
     return {
       kind: 'refused',
-      verdict: notRun('targetUnavailable', message, RECONNECT_RETRY_MS),
+      verdict: notRun('targetUnavailable', message, UNAVAILABLE_RETRY_MS),
     };
   }
 }
--- a/src/home/group-databases.ts
+++ b/src/home/group-databases.ts
@@ -1,4 +1,4 @@
-/** What a group's home holds: its monitor, its lanes and what it knows. */
+/** The databases of one group at its home: monitoring, failover and pools. */
 import type {Clock, Random} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import {AckTracker} from '../groups/acknowledgement.js';
@@ -13,31 +13,31 @@
 } from '../groups/types.js';
 import {ReadRouter} from '../routing/read-router.js';
 import type {TargetConnection} from '../targets/types.js';
-import {DatabaseLane} from './database-lane.js';
-import {StatementRuns} from './statement-runs.js';
+import {DatabasePool} from './database-pool.js';
+import {BatchRuns} from './batch-runs.js';
 
-/** How long a majority must be out of reach before writes are refused. */
-const HOPELESS_AFTER_MS = 1_500;
-/** How long a database must be silent before its statements are given up. */
+/** How long a majority must be unreachable before writes are refused. */
+const NO_MAJORITY_AFTER_MS = 1_500;
+/** How long a database must be silent before its statements are abandoned. */
 const ABANDON_AFTER_MS = 800;
 const ABANDON_CHECK_MS = 100;
-/** The same while every database answers; a silent one is noted in 500 ms. */
-const CALM_ABANDON_CHECK_MS = 200;
-/** How long a database must be silent before nothing new is sent to it. */
+/** Check period while every database answers; silence is detected in 500 ms. */
+const HEALTHY_ABANDON_CHECK_MS = 200;
+/** How long a database must be silent before it gets no new statements. */
 const UNREACHABLE_AFTER_MS = 500;
 
-/** A control connection that can be given up. */
+/** A control connection that can be closed. */
 export interface ClosableControl extends DatabaseControl {
   close(): void;
 }
 
-/** Reaches the databases of a group. */
+/** Opens connections to the databases of a group. */
 export interface DatabaseAccess {
   control(spec: DatabaseSpec): ClosableControl;
   connect(spec: DatabaseSpec): Promise<TargetConnection>;
 }
 
-/** Settings of a group's home. */
+/** Options of a group's databases. */
 export interface GroupDatabasesOptions {
   readonly clock: Clock;
   readonly random: Random;
@@ -45,20 +45,21 @@
   readonly dataCentre: string;
   readonly access: DatabaseAccess;
   readonly evidence: EvidencePort;
-  /** Unique to this run of this VM. */
+  /** Unique to this process on this VM. */
   readonly instanceId: string;
-  readonly connectionShare: (spec: DatabaseSpec) => number;
+  readonly connectionLimit: (spec: DatabaseSpec) => number;
   readonly weightOf: (team: string) => number;
   readonly onFailover: (event: FailoverEvent) => void;
 }
 
 /**
- * The databases of one group as its home knows them.
+ * Monitors the databases of one group, replaces a failed primary and keeps a
+ * connection pool for each database.
  *
  * @example
  * const databases = new GroupDatabases(options);
  * databases.start();
- * const lane = databases.lane(databases.view().primaryId ?? '');
+ * const pool = databases.pool(databases.view().primaryId ?? '');
  */
 export class GroupDatabases {
   readonly spec: GroupSpec;
@@ -67,18 +68,18 @@
   readonly tracker: AckTracker;
   readonly agent: FailoverAgent;
   readonly monitor: GroupMonitor;
-  readonly runs: StatementRuns;
+  readonly runs: BatchRuns;
   /** Chooses a database for each read. */
   readonly reads: ReadRouter;
   readonly #stopping = new AbortController();
-  readonly #lanes = new Map<string, DatabaseLane>();
+  readonly #pools = new Map<string, DatabasePool>();
 
   constructor(options: GroupDatabasesOptions) {
     const {clock, spec, access} = options;
     this.spec = spec;
     this.clock = clock;
-    this.runs = new StatementRuns(clock);
-    this.controls = spec.databases.map(one => access.control(one));
+    this.runs = new BatchRuns(clock);
+    this.controls = spec.databases.map(database => access.control(database));
     const controls = this.controls;
     this.tracker = new AckTracker({clock, controls});
     this.monitor = new GroupMonitor({clock, groupName: spec.name, controls});
@@ -95,16 +96,16 @@
       clock,
       monitor: this.monitor,
       dataCentre: options.dataCentre,
-      outstandingOf: id => this.lane(id)?.outstanding ?? 0,
+      outstandingOf: id => this.pool(id)?.outstanding ?? 0,
     });
     for (const database of spec.databases) {
-      this.#lanes.set(
+      this.#pools.set(
         database.id,
-        new DatabaseLane({
+        new DatabasePool({
           clock,
           spec: database,
           connect: () => access.connect(database),
-          connectionShare: () => options.connectionShare(database),
+          connectionLimit: () => options.connectionLimit(database),
           weightOf: options.weightOf,
           isReachable: () => this.#isReachable(database.id),
         }),
@@ -112,24 +113,24 @@
     }
   }
 
-  /** Begins to follow the group and to order its failovers. */
+  /** Starts monitoring the group and failing it over. */
   start(): void {
     this.monitor.start();
     this.agent.start();
     this.monitor.onChange(view => this.#abandonSuperseded(view));
     void this.#abandonSilent();
-    for (const lane of this.#lanes.values()) void lane.warmUp();
+    for (const pool of this.#pools.values()) void pool.warmUp();
   }
 
   /**
-   * Orders no failovers any more, and takes no new work for the databases that
-   * the group's new description lacks.
+   * Stops ordering failovers, and closes the pools of the databases that the
+   * group's new description lacks.
    */
-  retire({databases}: GroupSpec): void {
+  supersede({databases}: GroupSpec): void {
     this.agent.stop();
     const kept = new Set(databases.map(({id}) => id));
-    for (const [id, lane] of this.#lanes) {
-      if (!kept.has(id)) lane.close();
+    for (const [id, pool] of this.#pools) {
+      if (!kept.has(id)) pool.close();
     }
   }
 
@@ -138,7 +139,7 @@
     this.agent.stop();
     this.reads.stop();
     this.monitor.stop();
-    for (const lane of this.#lanes.values()) lane.close();
+    for (const pool of this.#pools.values()) pool.close();
     for (const control of this.controls) control.close();
   }
 
@@ -146,8 +147,8 @@
     return this.monitor.current();
   }
 
-  lane(databaseId: string): DatabaseLane | undefined {
-    return this.#lanes.get(databaseId);
+  pool(databaseId: string): DatabasePool | undefined {
+    return this.#pools.get(databaseId);
   }
 
   #isReachable(databaseId: string): boolean {
@@ -157,17 +158,17 @@
     return found === undefined || found.unreachableMs < UNREACHABLE_AFTER_MS;
   }
 
-  /** Whether so few databases answer that no failover can succeed now. */
-  get isHopeless(): boolean {
+  /** True if too few databases answer for a failover to succeed now. */
+  get hasLostMajority(): boolean {
     const {databases} = this.view();
-    const possible = databases.filter(
+    const available = databases.filter(
       ({reachable, unreachableMs}) =>
-        reachable || unreachableMs < HOPELESS_AFTER_MS,
+        reachable || unreachableMs < NO_MAJORITY_AFTER_MS,
     );
-    return possible.length < majorityOf(databases.length);
+    return available.length < majorityOf(databases.length);
   }
 
-  /** Resolves at the next change of primary, or after `ms`. */
+  /** Resolves when the primary or the term changes, or after `ms`. */
   async waitForChange(ms: number, signal: AbortSignal): Promise<void> {
     const changed = new AbortController();
     const stop = () => changed.abort();
@@ -178,19 +179,19 @@
     unsubscribe();
   }
 
-  /** A silent database that leads no longer can't acknowledge anything. */
+  /** Abandons statements on unreachable databases that are not the primary. */
   #abandonSuperseded({primaryId, databases}: GroupView): void {
     for (const {spec, reachable} of databases) {
       if (spec.id !== primaryId && !reachable) this.runs.abandon(spec.id);
     }
   }
 
-  /** Gives up the statements on databases that have gone silent. */
+  /** Periodically abandons statements on databases that have gone silent. */
   async #abandonSilent(): Promise<void> {
     const {signal} = this.#stopping;
     while (!signal.aborted) {
       const {isUneasy} = this.monitor;
-      const periodMs = isUneasy ? ABANDON_CHECK_MS : CALM_ABANDON_CHECK_MS;
+      const periodMs = isUneasy ? ABANDON_CHECK_MS : HEALTHY_ABANDON_CHECK_MS;
       await sleepToTick(this.clock, periodMs, signal);
       if (!this.monitor.isUneasy) continue;
       for (const {spec, unreachableMs} of this.view().databases) {
--- a/src/home/group-home.ts
+++ b/src/home/group-home.ts
@@ -1,4 +1,4 @@
-/** The home of one database group: all of the group's work passes here. */
+/** The home of one database group: all of the group's work runs through it. */
 import {switchPrimary, type SwitchResult} from '../groups/planned-switch.js';
 import type {GroupView} from '../groups/group-view.js';
 import type {GroupSpec} from '../groups/types.js';
@@ -8,21 +8,21 @@
 import {GroupDatabases, type GroupDatabasesOptions} from './group-databases.js';
 import {ReadLoop} from './read-loop.js';
 import {ReadPath} from './read-path.js';
-import {Transactions} from './transactions.js';
+import {PgOpenTransactions} from './pg-open-transactions.js';
 import type {ExecAttempt, ExecRequest, ExecResult, PartSink} from './types.js';
 import {WriteGate} from './write-gate.js';
 import {WritePath} from './write-path.js';
 
-/** Settings of a group's home. */
+/** Options of a group's home. */
 export interface GroupHomeOptions extends GroupDatabasesOptions {
-  /** The group's row of the table in force. */
+  /** Returns the group's row of the configuration table in force. */
   readonly row: () => GroupRow | undefined;
-  /** How long a read may wait for a replica rather than go to the primary. */
+  /** How long a read may wait for a replica before it uses the primary. */
   readonly replicaWaitMs: number;
 }
 
 /**
- * Runs batches on one group.
+ * Runs batches of statements on one group.
  *
  * @example
  * const home = new GroupHome(options);
@@ -32,11 +32,11 @@
 export class GroupHome {
   readonly #clock: Clock;
   readonly #databases: GroupDatabases;
-  readonly #transactions: Transactions;
+  readonly #transactions: PgOpenTransactions;
   readonly #reads: ReadLoop;
   readonly #writes: WritePath;
   readonly #gate: WriteGate;
-  /** What runs or waits, each with the signal that cancels it. */
+  /** Running and queued batches, each with the controller that cancels it. */
   readonly #running = new Map<ExecRequest, AbortController>();
   #lastUsedAt: number;
 
@@ -44,7 +44,7 @@
     this.#clock = options.clock;
     this.#lastUsedAt = options.clock.now();
     this.#databases = new GroupDatabases(options);
-    this.#transactions = new Transactions(options.clock);
+    this.#transactions = new PgOpenTransactions(options.clock);
     this.#gate = new WriteGate({
       clock: options.clock,
       openTransactions: () => this.#transactions.size,
@@ -67,12 +67,12 @@
     });
   }
 
-  /** Batches that run now, and transactions that are open. */
+  /** Number of running batches and open transactions. */
   get active(): number {
     return this.#running.size + this.#transactions.size;
   }
 
-  /** How long it has had nothing to do. */
+  /** Time without running batches or open transactions, in milliseconds. */
   get idleMs(): number {
     return this.active > 0 ? 0 : this.#clock.now() - this.#lastUsedAt;
   }
@@ -82,9 +82,9 @@
     this.#transactions.start();
   }
 
-  /** Only finishes its work; a home of the new description has taken over. */
-  retire(successor: GroupSpec): void {
-    this.#databases.retire(successor);
+  /** Only finishes open work; a home for the new description takes over. */
+  supersede(successor: GroupSpec): void {
+    this.#databases.supersede(successor);
   }
 
   /** Stops at once; open transactions are rolled back. */
@@ -93,12 +93,12 @@
     this.#databases.stop();
   }
 
-  /** What is known of the group. */
+  /** Returns the observed state of the group. */
   view(): GroupView {
     return this.#databases.view();
   }
 
-  /** Runs one batch; every failure is in the result's verdict. */
+  /** Runs one batch. Never rejects: the verdict holds any failure. */
   async execute(
     req: ExecRequest,
     sink: PartSink,
@@ -118,17 +118,17 @@
     }
   }
 
-  /** Whether a transaction is open here. */
-  holds(pin: string): boolean {
+  /** True if the transaction is open here and between two statements. */
+  hasTransaction(pin: string): boolean {
     return this.#transactions.has(pin);
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   release(pin: string): void {
     this.#transactions.release(pin);
   }
 
-  /** Stops what a session runs, or takes it out of the queue. */
+  /** Cancels a session's running batch, or removes it from the queue. */
   cancel(sessionId: string): void {
     for (const [req, cancel] of this.#running) {
       if (req.sessionId === sessionId) cancel.abort();
@@ -136,7 +136,7 @@
     this.#databases.runs.cancel(sessionId);
   }
 
-  /** Makes a database primary by the operator's order. */
+  /** Makes a database the primary on the operator's request. */
   async switchTo(targetDatabaseId: string): Promise<SwitchResult> {
     const {controls, agent, monitor} = this.#databases;
     agent.hold();
@@ -157,7 +157,7 @@
     }
   }
 
-  /** Looks who leads first: held writes would meet the old primary. */
+  /** Refreshes the view first, or held writes would go to the old primary. */
   async #releaseWrites(): Promise<void> {
     await this.#databases.monitor.refreshNow();
     this.#gate.releaseWrites();
--- a/src/home/group-member.ts
+++ b/src/home/group-member.ts
@@ -1,4 +1,4 @@
-/** One database of a group as the group's home uses it. */
+/** One database of a group at the group's home. */
 import type {DatabaseEntry} from '../catalog/types.js';
 import {WorkHealth} from '../membership/work-health.js';
 import type {Clock} from '../infra/clock.js';
@@ -7,44 +7,44 @@
 import type {StatementConnector} from '../statements/connection.js';
 import type {DatabaseReply, DatabaseState} from '../statements/types.js';
 import {TargetError} from '../targets/types.js';
-import {BoundConnection} from './bound-connection.js';
-import {Lane} from './lane.js';
+import {TeamConnection} from './bound-connection.js';
+import {ConnectionPool} from './connection-pool.js';
 import {TeamConnections, type TeamSlotRequest} from './team-connections.js';
 
-/** How long opening a connection may take, its time in a slot included. */
+/** Timeout for opening a connection; its slot is occupied meanwhile. */
 const CONNECT_TIMEOUT_MS = 350;
-/** How long no connection is opened after the database refused one as surplus. */
-const FULL_PAUSE_MS = 200;
-/** What opening a connection costs until one was opened: 12 to 27 ms are usual. */
-const INITIAL_OPENING_MS = 15;
-/** Weight of the newest sample in the average time of opening a connection. */
-const OPENING_SMOOTHING = 0.2;
-/** How long a database may take to say its state. */
+/** Pause in opening connections after the database reported too many. */
+const REFUSED_PAUSE_MS = 200;
+/** Assumed time to open a connection until measured; 12 to 27 ms are usual. */
+const INITIAL_CONNECT_MS = 15;
+/** Weight of the newest sample in the average time to open a connection. */
+const CONNECT_SMOOTHING = 0.2;
+/** Timeout of a state query. */
 const STATE_TIMEOUT_MS = 300;
 
-/** Settings of one database at its group's home. */
+/** Options of a group member. */
 export interface GroupMemberOptions {
   readonly clock: Clock;
   readonly connector: StatementConnector;
-  /** Connections that this node may hold. */
-  readonly connectionShare: () => number;
+  /** Maximum number of connections of this node to the database. */
+  readonly connectionLimit: () => number;
   readonly weightOf: (team: string) => number;
-  /** A team in whose name the home itself may connect. */
+  /** Returns a team as which the home connects for its own queries. */
   readonly anyTeam: () => string | undefined;
 }
 
-/** A database, the lane to it, and what its answers told. */
+/** A database with its connection pool, health and last known log position. */
 export class GroupMember {
   entry: DatabaseEntry;
-  readonly lane: Lane<BoundConnection, TeamSlotRequest>;
+  readonly pool: ConnectionPool<TeamConnection, TeamSlotRequest>;
   readonly health: WorkHealth;
   readonly connections: TeamConnections;
   readonly #options: GroupMemberOptions;
-  readonly #running = new Set<BoundConnection>();
-  #shown: Position | undefined;
-  #fellShort: {readonly at: number; readonly of: Position} | undefined;
-  #fullUntil = -Infinity;
-  #openingMs = INITIAL_OPENING_MS;
+  readonly #running = new Set<TeamConnection>();
+  #visiblePosition: Position | undefined;
+  #lastLagRefusal: {readonly at: number; readonly of: Position} | undefined;
+  #refusesUntil = -Infinity;
+  #connectMs = INITIAL_CONNECT_MS;
 
   constructor(entry: DatabaseEntry, options: GroupMemberOptions) {
     const {clock, weightOf} = options;
@@ -56,11 +56,11 @@
       limit: () => this.#connectionLimit(),
       open: team => this.#connect(team),
     });
-    this.lane = new Lane<BoundConnection, TeamSlotRequest>({
+    this.pool = new ConnectionPool<TeamConnection, TeamSlotRequest>({
       clock,
       spec: entry,
-      supply: this.connections,
-      connectionShare: () => this.#connectionLimit(),
+      source: this.connections,
+      connectionLimit: () => this.#connectionLimit(),
       weightOf,
       isReachable: () => this.health.isReachable,
     });
@@ -70,26 +70,27 @@
     return this.entry.id;
   }
 
-  /** The last position that it is known to show. */
-  get shown(): Position | undefined {
-    return this.#shown;
+  /** The highest log position whose data was visible at the database. */
+  get visiblePosition(): Position | undefined {
+    return this.#visiblePosition;
   }
 
-  /** When it last refused a position, and which. */
-  get fellShort(): {readonly at: number; readonly of: Position} | undefined {
-    return this.#fellShort;
+  /** Time and position of the last read that it refused as lagging. */
+  get lastLagRefusal():
+    {readonly at: number; readonly of: Position} | undefined {
+    return this.#lastLagRefusal;
   }
 
   /**
-   * Time in a slot that opening a connection costs a team's request; 0 where
-   * one is open and idle.
+   * Expected time to open a connection for a team's request; 0 if one is open
+   * and idle.
    */
   openingMs(team: string): number {
-    return this.connections.hasIdle(team) ? 0 : this.#openingMs;
+    return this.connections.hasIdle(team) ? 0 : this.#connectMs;
   }
 
-  /** Notes that something is sent; call the result once that has ended. */
-  begin(connection: BoundConnection): () => void {
+  /** Registers work sent to the database; call the result once it has ended. */
+  trackWork(connection: TeamConnection): () => void {
     const end = this.health.begin();
     this.#running.add(connection);
     return () => {
@@ -98,41 +99,44 @@
     };
   }
 
-  /** Gives up what runs on a database that no longer answers. */
-  abandon(): void {
+  /** Closes all connections, which aborts running work. */
+  closeConnections(): void {
     for (const connection of [...this.#running]) connection.close();
     this.connections.closeAll();
   }
 
-  /** Takes what a reply tells of the database itself. */
-  noteReply({position}: DatabaseReply): void {
+  /** Records that the database answered, and the position in its reply. */
+  recordReply({position}: DatabaseReply): void {
     this.health.noteAnswer();
     if (position === undefined) return;
-    this.#shown = laterPosition(this.#shown ?? position, position);
+    this.#visiblePosition = laterPosition(
+      this.#visiblePosition ?? position,
+      position,
+    );
   }
 
-  /** Notes that its log lacks a position. */
-  noteFellShort(of: Position): void {
-    this.#fellShort = {at: this.#options.clock.now(), of};
+  /** Records that the database has not applied a position yet. */
+  recordLagRefusal(of: Position): void {
+    this.#lastLagRefusal = {at: this.#options.clock.now(), of};
   }
 
-  /** Forgets what it showed, after its log may have been cut back. */
-  forgetShown(): void {
-    this.#shown = undefined;
-    this.#fellShort = undefined;
+  /** Forgets the known position, as the log may have been truncated. */
+  resetVisiblePosition(): void {
+    this.#visiblePosition = undefined;
+    this.#lastLagRefusal = undefined;
   }
 
   /**
-   * Asks the database for its state over a new connection, which tests the way
-   * to it as well; undefined while it is too busy to say.
+   * Queries the database's state over a new connection, which also checks that
+   * the database accepts connections. Undefined if it is too busy to answer.
    *
    * @throws TargetError when it can't be reached or does not answer
    */
-  async askState(): Promise<DatabaseState | undefined> {
+  async queryStateOverNewConnection(): Promise<DatabaseState | undefined> {
     const {connector, anyTeam} = this.#options;
     const team = anyTeam();
     if (team === undefined) {
-      throw new TargetError('notSent', 'there is no team to connect for yet');
+      throw new TargetError('notSent', 'no team is configured');
     }
     const opened = await connector.connect(
       this.entry,
@@ -140,28 +144,28 @@
       CONNECT_TIMEOUT_MS,
     );
     try {
-      return await this.#askStateOn(opened);
+      return await this.#queryStateOn(opened);
     } finally {
       opened.close();
     }
   }
 
   /**
-   * The same over a connection that is open, if one is: a busy database may
-   * accept no more of them.
+   * Queries the database's state over an idle connection if there is one, as a
+   * busy database may accept no new ones.
    */
-  async askStateSoon(): Promise<DatabaseState | undefined> {
-    const kept = this.connections.takeAny();
-    if (kept === undefined) return this.askState();
+  async queryState(): Promise<DatabaseState | undefined> {
+    const idle = this.connections.takeAny();
+    if (idle === undefined) return this.queryStateOverNewConnection();
     try {
-      return await this.#askStateOn(kept);
+      return await this.#queryStateOn(idle);
     } finally {
-      if (kept.usable) this.connections.add(kept);
+      if (idle.usable) this.connections.add(idle);
     }
   }
 
-  async #askStateOn(
-    connection: Pick<BoundConnection, 'askState' | 'close'>,
+  async #queryStateOn(
+    connection: Pick<TeamConnection, 'askState' | 'close'>,
   ): Promise<DatabaseState | undefined> {
     const {clock} = this.#options;
     const cancel = startTimer(clock, STATE_TIMEOUT_MS, () =>
@@ -176,15 +180,15 @@
     }
   }
 
-  /** While the database accepts no more, what is open has to do. */
+  /** Limits itself to the open connections while the database refuses more. */
   #connectionLimit(): number {
-    const share = this.#options.connectionShare();
+    const share = this.#options.connectionLimit();
     const {open} = this.connections;
-    const isFull = this.#options.clock.now() < this.#fullUntil;
+    const isFull = this.#options.clock.now() < this.#refusesUntil;
     return isFull && open > 0 ? Math.min(share, open) : share;
   }
 
-  async #connect(team: string): Promise<BoundConnection> {
+  async #connect(team: string): Promise<TeamConnection> {
     const {clock, connector} = this.#options;
     const startedAt = clock.now();
     try {
@@ -194,12 +198,12 @@
         CONNECT_TIMEOUT_MS,
       );
       const tookMs = clock.now() - startedAt;
-      this.#openingMs += OPENING_SMOOTHING * (tookMs - this.#openingMs);
-      return new BoundConnection(clock, team, opened);
+      this.#connectMs += CONNECT_SMOOTHING * (tookMs - this.#connectMs);
+      return new TeamConnection(clock, team, opened);
     } catch (err) {
       const isFull =
         err instanceof TargetError && err.code === 'tooManyConnections';
-      if (isFull) this.#fullUntil = clock.now() + FULL_PAUSE_MS;
+      if (isFull) this.#refusesUntil = clock.now() + REFUSED_PAUSE_MS;
       else this.health.noteFailure();
       throw err;
     }
--- a/src/home/home-context.ts
+++ b/src/home/home-context.ts
@@ -1,15 +1,15 @@
-/** What the parts of a certified home share. */
+/** The state that the components of a certified home share. */
 import type {Leadership} from '../groups/leadership.js';
 import type {Clock} from '../infra/clock.js';
 import type {PositionCertificates} from '../routing/certificates.js';
 import type {Logger} from '../telemetry/log.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import type {GroupMember} from './group-member.js';
 import type {OpenTransactions} from './open-transactions.js';
 import type {OpenTransaction} from './transaction-statements.js';
 import type {WriteGate} from './write-gate.js';
 
-/** What the parts of a home share. */
+/** Dependencies and state shared within one certified home. */
 export interface HomeContext {
   readonly clock: Clock;
   readonly log: Logger;
@@ -18,8 +18,8 @@
   readonly members: ReadonlyMap<string, GroupMember>;
   readonly leadership: Leadership;
   readonly certificates: PositionCertificates;
-  readonly transactions: OpenTransactions<BoundConnection, OpenTransaction>;
+  readonly transactions: OpenTransactions<TeamConnection, OpenTransaction>;
   readonly gate: WriteGate;
-  /** When to come back while there is no primary, in milliseconds. */
+  /** Returns the retry delay while there is no primary, in milliseconds. */
   readonly primaryRetryMs: () => number;
 }
--- a/src/home/home-forwarder.ts
+++ b/src/home/home-forwarder.ts
@@ -1,4 +1,4 @@
-/** The way from an entry to the home of a group, wherever that is. */
+/** Forwards requests from an entry node to the home of their group. */
 import {PeerError, type PeerAddress, type PeerCaller} from '../peers/types.js';
 import type {Clock} from '../infra/clock.js';
 import {
@@ -10,14 +10,14 @@
 import type {HomeWatch} from './home-watch.js';
 import type {HomeRequest, HomeResult} from './types.js';
 
-/** Homes that are tried for one request. */
+/** Maximum number of homes tried for one request. */
 export const MAX_HOMES = 3;
-/** How much longer than the deadline the home's own verdict is waited for. */
-const ANSWER_GRACE_MS = 250;
+/** Time beyond the deadline to wait for the home's own verdict. */
+const VERDICT_GRACE_MS = 250;
 const HOME_RETRY_MS = 500;
 const PIN_SEPARATOR = '/';
 
-/** Runs the requests of groups whose home is on this VM. */
+/** Runs the requests of the groups whose home is on this VM. */
 export interface HomeRunner<Req, Res, Part> {
   execute(req: Req, sink: Sink<Part>, signal: AbortSignal): Promise<Res>;
 }
@@ -25,15 +25,15 @@
 /** Receives the parts of an answer in order. */
 export type Sink<Part> = (part: Part) => void | Promise<void>;
 
-/** What a forwarder is built from. */
+/** Options of a forwarder. */
 export interface HomeForwarderOptions<Req, Res, Part> {
   readonly self: string;
   readonly clock: Clock;
   readonly peers: PeerCaller;
   readonly local: HomeRunner<Req, Res, Part>;
-  /** The peer method by which a home takes requests. */
+  /** The peer method that a home serves for these requests. */
   readonly method: string;
-  /** How peers send requests and results; as they are without it. */
+  /** Encoding of requests and results between peers; none sends them as is. */
   readonly codec?: {
     encode(req: Req): unknown;
     decode(body: unknown): Res;
@@ -41,23 +41,23 @@
   /** Nodes in order of preference as the group's home. */
   readonly homeOrder: (group: string) => readonly PeerAddress[];
   readonly findNode: (id: string) => PeerAddress | undefined;
-  /** A node that may serve the request before its group's home is asked. */
+  /** Returns a nearby node to try before the group's home. */
   readonly readerOf?: (req: Req) => PeerAddress | undefined;
-  /** The result of a request that failed with a verdict. */
+  /** Creates the result of a request that failed with a verdict. */
   readonly failed: (verdict: Verdict) => Res;
-  /** Tells which homes give no sign of life; without it all count as alive. */
+  /** Detects silent homes; without it every home is assumed to answer. */
   readonly watch?: HomeWatch | undefined;
 }
 
-/** Where an open transaction is: its node, and its name there. */
-export interface PinPlace {
+/** Location of an open transaction: its node and its pin there. */
+export interface PinLocation {
   readonly node: string;
   readonly local: string;
 }
 
 /**
- * Sends each request to the group's home, or to the next choice while that is
- * known not to have run it.
+ * Sends each request to its group's home. Tries the next choice if the home
+ * did not run the request, or if a read was lost with the home.
  *
  * @example
  * const result = await forwarder.execute(req, part => write(part), signal);
@@ -77,9 +77,9 @@
     if (req.pin !== undefined) return this.#executePinned(req, sink, signal);
     const {clock, failed} = this.#options;
     const deadlineAt = clock.now() + req.deadlineMs;
-    const near = await this.#tryNear(req, sink, signal);
-    if (near !== undefined) return near;
-    const homes = this.#homesOf(req.group);
+    const nearby = await this.#tryNearbyReader(req, sink, signal);
+    if (nearby !== undefined) return nearby;
+    const homes = this.#rankHomes(req.group);
     let last = failed(noHome(req.group));
     let lost: Res | undefined;
     for (const home of homes) {
@@ -91,12 +91,12 @@
       if (last.verdict.kind === 'mayHaveRun') lost = last;
       if (!mayTryNext(req, last.verdict, tracked.forwarded())) break;
     }
-    // An earlier home may have run it, whatever the last one says.
+    // An earlier home may have run the read even if the last one refused it.
     return last.verdict.kind === 'notRun' ? (lost ?? last) : last;
   }
 
-  /** The answer of a reader nearby; undefined where the home must be asked. */
-  async #tryNear(
+  /** Tries a nearby reader; undefined if the request must go to the home. */
+  async #tryNearbyReader(
     req: Req,
     sink: Sink<Part>,
     signal: AbortSignal,
@@ -107,12 +107,12 @@
     const tracked = trackParts(sink);
     const attempt = {...req, nearOnly: true};
     const result = await this.#tryHome(reader, attempt, tracked.sink, signal);
-    const isFinal = !mayLeaveReader(req, result.verdict);
+    const isFinal = !mayFallBackToHome(req, result.verdict);
     return isFinal || tracked.forwarded() ? result : undefined;
   }
 
-  /** The preferred homes; silent ones last, as they may be all there is. */
-  #homesOf(group: string): readonly PeerAddress[] {
+  /** The preferred homes, silent ones last in case no other is left. */
+  #rankHomes(group: string): readonly PeerAddress[] {
     const {homeOrder, watch} = this.#options;
     const order = homeOrder(group);
     if (watch === undefined) return order.slice(0, MAX_HOMES);
@@ -121,7 +121,7 @@
     return [...answering, ...silent].slice(0, MAX_HOMES);
   }
 
-  /** Runs a request where its transaction is open. */
+  /** Runs a request on the node where its transaction is open. */
   async #executePinned(
     req: Req,
     sink: Sink<Part>,
@@ -134,10 +134,10 @@
     const attempt = {...req, pin: local};
     const result = await this.#tryHome(home, attempt, sink, signal);
     const {verdict} = result;
-    const unreached =
+    const notReached =
       verdict.kind === 'notRun' && verdict.reason === 'homeUnavailable';
     const lost = verdict.kind === 'mayHaveRun' && verdict.reason === 'homeLost';
-    if (unreached || (lost && !req.commits)) {
+    if (notReached || (lost && !req.commits)) {
       return failed(transactionLost(node));
     }
     return result;
@@ -168,8 +168,8 @@
     try {
       const body = codec === undefined ? req : codec.encode(req);
       const result = await peers.call(home, method, body, {
-        timeoutMs: req.deadlineMs + ANSWER_GRACE_MS,
-        // What may be repeated is not left with a home that went silent.
+        timeoutMs: req.deadlineMs + VERDICT_GRACE_MS,
+        // A read can be repeated elsewhere, so it is aborted on a silent home.
         signal: req.kind === 'read' && watched ? watched.signal : signal,
         onPart: part => sink(part as Part),
       });
@@ -182,7 +182,7 @@
   }
 }
 
-/** Whether another home may run the request without running it twice. */
+/** True if another home may be tried: a write is never run twice. */
 function mayTryNext(
   req: HomeRequest,
   verdict: Verdict,
@@ -197,14 +197,14 @@
   );
 }
 
-/** Whether the home may serve what a reader did not. */
-function mayLeaveReader(req: HomeRequest, verdict: Verdict): boolean {
+/** True if the home may serve a request that a reader did not. */
+function mayFallBackToHome(req: HomeRequest, verdict: Verdict): boolean {
   if (verdict.kind === 'done') return false;
   if (verdict.kind === 'mayHaveRun') return req.kind === 'read';
   return !FINAL_AT_READER.has(verdict.reason);
 }
 
-/** Refusals that are the same at every home. */
+/** Refusals that every home would give as well. */
 const FINAL_AT_READER: ReadonlySet<NotRun['reason']> = new Set([
   'rateLimited',
   'badRequest',
@@ -244,8 +244,8 @@
   return `${node}${PIN_SEPARATOR}${pin}`;
 }
 
-/** Where the transaction of a pin is open. */
-export function splitPin(pin: string): PinPlace {
+/** Splits a pin into its node and the pin on that node. */
+export function splitPin(pin: string): PinLocation {
   const at = pin.lastIndexOf(PIN_SEPARATOR);
   return {node: pin.slice(0, at), local: pin.slice(at + 1)};
 }
--- a/src/home/home-router.ts
+++ b/src/home/home-router.ts
@@ -1,4 +1,4 @@
-/** The entry's way to the home of a group, wherever that is. */
+/** Routes batches from an entry node to the home of their group. */
 import {toPeerAddress} from '../membership/known-vm.js';
 import type {Member} from '../membership/member.js';
 import type {PeerCaller} from '../peers/types.js';
@@ -13,23 +13,23 @@
   type PartSink,
 } from './types.js';
 
-const ORDER_TIMEOUT_MS = 1_000;
+const NOTIFY_TIMEOUT_MS = 1_000;
 
-/** The part of the home service that the router uses on its own VM. */
+/** The homes on the router's own VM. */
 export type LocalHomes = GroupExecutor;
 
-/** What the router is built from. */
+/** Options of a home router. */
 export interface HomeRouterOptions {
   readonly self: string;
   readonly clock: Clock;
   readonly peers: PeerCaller;
   readonly local: LocalHomes;
-  /** VMs in order of preference as the group's home. */
+  /** Returns the VMs in order of preference as the group's home. */
   readonly homeOrder: (group: string) => readonly Member[];
   readonly findVm: (vm: string) => Member | undefined;
 }
 
-/** Sends each batch to the group's home. */
+/** Sends batches, rollbacks and cancel requests to the group's home. */
 export class HomeRouter implements GroupExecutor {
   readonly #options: HomeRouterOptions;
   readonly #forwarder: HomeForwarder<ExecRequest, ExecResult>;
@@ -62,21 +62,21 @@
     if (node === this.#options.self) {
       return this.#options.local.release(group, local);
     }
-    void this.#tell(node, HOME_METHODS.release, {group, pin: local});
+    void this.#notify(node, HOME_METHODS.release, {group, pin: local});
   }
 
   cancel(group: string, sessionId: string): void {
     this.#options.local.cancel(group, sessionId);
     for (const home of this.#options.homeOrder(group).slice(0, MAX_HOMES)) {
       if (home.id === this.#options.self) continue;
-      void this.#tell(home.id, HOME_METHODS.cancel, {group, sessionId});
+      void this.#notify(home.id, HOME_METHODS.cancel, {group, sessionId});
     }
   }
 
-  async #tell(vm: string, method: string, body: unknown): Promise<void> {
+  async #notify(vm: string, method: string, body: unknown): Promise<void> {
     const home = this.#options.findVm(vm);
     if (home === undefined) return;
-    const options = {timeoutMs: ORDER_TIMEOUT_MS};
+    const options = {timeoutMs: NOTIFY_TIMEOUT_MS};
     await this.#options.peers
       .call(toPeerAddress(home), method, body, options)
       .catch(() => {});
--- a/src/home/home-service.ts
+++ b/src/home/home-service.ts
@@ -1,4 +1,4 @@
-/** The groups that have, or had, their home on this VM. */
+/** Opens, serves and closes the group homes on this VM. */
 import type {EvidencePort} from '../groups/evidence.js';
 import type {FailoverEvent} from '../groups/failover-agent.js';
 import type {GroupView} from '../groups/group-view.js';
@@ -19,17 +19,17 @@
   type PartSink,
 } from './types.js';
 
-/** A home that nobody uses and that belongs elsewhere is closed after this. */
-const RETIRE_IDLE_MS = 30_000;
-const REVIEW_PERIOD_MS = 1_000;
-/** A failover waits for this answer. */
+/** An idle home whose first choice is another VM is closed after this. */
+const CLOSE_IDLE_MS = 30_000;
+const UPDATE_PERIOD_MS = 1_000;
+/** Short, because a failover waits for the answer. */
 const REACH_TIMEOUT_MS = 150;
-/** Share of a database's connections for the first home, and for any other. */
+/** Share of a database's connections for the first-choice home, and others. */
 const FIRST_HOME_SHARE = 0.75;
 const OTHER_HOME_SHARE = 0.25;
 const MIN_CONNECTIONS = 2;
 
-/** What homes need of the node. */
+/** Options of a home service. */
 export interface HomeServiceOptions {
   readonly clock: Clock;
   readonly random: Random;
@@ -40,25 +40,25 @@
   readonly groups: () => readonly GroupSpec[];
   readonly row: (group: string) => GroupRow | undefined;
   readonly weightOf: (team: string) => number;
-  /** How long a read may wait for a replica rather than go to the primary. */
+  /** How long a read may wait for a replica before it uses the primary. */
   readonly replicaWaitMs: number;
-  /** Whether this VM is the first choice as the group's home. */
+  /** Returns whether this VM is the first choice as the group's home. */
   readonly isFirstHome: (group: string) => boolean;
   readonly onFailover: (group: string, event: FailoverEvent) => void;
 }
 
-interface Entry {
+interface OpenHome {
   readonly home: GroupHome;
-  /** The description it was built from, to notice a change. */
+  /** The group's description at the time, to detect changes. */
   readonly fingerprint: string;
 }
 
-/** Runs batches on the groups whose home is here. */
+/** Runs batches on the groups whose home is on this VM. */
 export class HomeService {
   readonly #options: HomeServiceOptions;
-  readonly #homes = new Map<string, Entry>();
-  /** Homes of replaced descriptions that still have work. */
-  readonly #outgoing = new Set<GroupHome>();
+  readonly #homes = new Map<string, OpenHome>();
+  /** Homes of replaced group descriptions that still have open work. */
+  readonly #superseded = new Set<GroupHome>();
   readonly #stopping = new AbortController();
   #draining = false;
   #refusesPeers = false;
@@ -67,7 +67,7 @@
     this.#options = options;
   }
 
-  /** The peer methods that it serves. */
+  /** Handlers of the peer methods. */
   get handlers(): ReadonlyMap<string, PeerHandler> {
     return new Map<string, PeerHandler>([
       [HOME_METHODS.exec, (body, ctx) => this.#serveExec(body, ctx)],
@@ -78,26 +78,29 @@
     ]);
   }
 
-  /** Batches that run and transactions that are open. */
+  /** Number of running batches and open transactions. */
   get active(): number {
     const homes = [...this.#homes.values()].map(({home}) => home);
-    return [...homes, ...this.#outgoing].reduce((sum, h) => sum + h.active, 0);
+    return [...homes, ...this.#superseded].reduce(
+      (sum, h) => sum + h.active,
+      0,
+    );
   }
 
-  /** Begins to open homes where this VM is the first choice. */
+  /** Starts opening homes of the groups whose first choice is this VM. */
   start(): void {
     const {signal} = this.#stopping;
-    void runAtTicks(this.#options.clock, REVIEW_PERIOD_MS, signal, () =>
-      this.#review(),
+    void runAtTicks(this.#options.clock, UPDATE_PERIOD_MS, signal, () =>
+      this.#updateHomes(),
     );
   }
 
-  /** Takes no new work of other VMs; their open transactions go on. */
+  /** Refuses new work from other VMs; their open transactions continue. */
   refusePeers(): void {
     this.#refusesPeers = true;
   }
 
-  /** Takes no new work and waits for what runs, `drainMs` at most. */
+  /** Refuses new work, waits up to `drainMs` for running work, then stops. */
   async drain(drainMs: number): Promise<void> {
     this.#draining = true;
     const {clock} = this.#options;
@@ -109,16 +112,16 @@
   stop(): void {
     this.#stopping.abort();
     for (const {home} of this.#homes.values()) home.stop();
-    for (const home of this.#outgoing) home.stop();
+    for (const home of this.#superseded) home.stop();
     this.#homes.clear();
   }
 
-  /** What the homes here know of their groups. */
+  /** Returns the observed state of each group with a home here. */
   views(): readonly GroupView[] {
     return [...this.#homes.values()].map(({home}) => home.view());
   }
 
-  /** Runs one batch; every failure is in the result's verdict. */
+  /** Runs one batch. Never rejects: the verdict holds any failure. */
   async execute(
     req: ExecRequest,
     sink: PartSink,
@@ -133,19 +136,19 @@
     return home.execute(req, sink, signal);
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   release(group: string, pin: string): void {
     this.#homes.get(group)?.home.release(pin);
-    for (const home of this.#outgoing) home.release(pin);
+    for (const home of this.#superseded) home.release(pin);
   }
 
-  /** Stops what a session runs, or takes it out of the queue. */
+  /** Cancels a session's running batch, or removes it from the queue. */
   cancel(group: string, sessionId: string): void {
     this.#homes.get(group)?.home.cancel(sessionId);
-    for (const home of this.#outgoing) home.cancel(sessionId);
+    for (const home of this.#superseded) home.cancel(sessionId);
   }
 
-  /** Makes a database primary by the operator's order. */
+  /** Makes a database the primary on the operator's request. */
   async switchPrimary(
     group: string,
     databaseId: string,
@@ -155,11 +158,13 @@
     return {kind: 'notStarted', reason: `there is no group ${group}`};
   }
 
-  /** A transaction stays where it began, even if its group was described anew. */
+  /** A transaction stays at its home if the group's description changes. */
   #homeFor({group, pin}: ExecRequest): GroupHome | undefined {
     if (pin === undefined) return this.#ensure(group);
-    const outgoing = [...this.#outgoing].find(home => home.holds(pin));
-    return outgoing ?? this.#ensure(group);
+    const previous = [...this.#superseded].find(home =>
+      home.hasTransaction(pin),
+    );
+    return previous ?? this.#ensure(group);
   }
 
   #ensure(group: string): GroupHome | undefined {
@@ -169,8 +174,8 @@
     const known = this.#homes.get(group);
     if (known?.fingerprint === fingerprint) return known.home;
     if (known !== undefined) {
-      known.home.retire(spec);
-      this.#outgoing.add(known.home);
+      known.home.supersede(spec);
+      this.#superseded.add(known.home);
     }
     const home = this.#open(spec);
     this.#homes.set(group, {home, fingerprint});
@@ -183,7 +188,7 @@
       ...common,
       spec,
       row: () => row(spec.name),
-      connectionShare: database =>
+      connectionLimit: database =>
         connectionShare(database, isFirstHome(spec.name)),
       onFailover: event => onFailover(spec.name, event),
     });
@@ -191,7 +196,7 @@
     return home;
   }
 
-  #review(): void {
+  #updateHomes(): void {
     const {groups, isFirstHome} = this.#options;
     const listed = new Set(groups().map(({name}) => name));
     for (const name of listed) {
@@ -199,13 +204,13 @@
     }
     for (const [name, {home}] of this.#homes) {
       const isOurs = listed.has(name) && isFirstHome(name);
-      if (isOurs || home.idleMs < RETIRE_IDLE_MS) continue;
+      if (isOurs || home.idleMs < CLOSE_IDLE_MS) continue;
       this.#homes.delete(name);
       home.stop();
     }
-    for (const home of this.#outgoing) {
+    for (const home of this.#superseded) {
       if (home.active > 0) continue;
-      this.#outgoing.delete(home);
+      this.#superseded.delete(home);
       home.stop();
     }
   }
@@ -232,7 +237,7 @@
     this.cancel(body.group, body.sessionId);
   }
 
-  /** Whether this VM reaches a database now, for another node's evidence. */
+  /** Answers another node whether this VM can reach a database now. */
   async #serveReach(body: unknown): Promise<boolean> {
     if (!hasStrings(body, 'group', 'databaseId')) return false;
     const spec = this.#options
--- a/src/home/home-watch.ts
+++ b/src/home/home-watch.ts
@@ -1,10 +1,10 @@
 /**
- * Notices homes that went silent, by the requests sent to them.
+ * Detects silent homes from the requests sent to them (passive health check).
  *
- * Load pattern: a home's node freezes, loses power or is cut off while every
- * entry sends it a steady stream. Requests that may be repeated leave it as
- * soon as it is silent, new ones go to the next choice, and a small call tells
- * when it answers again, so that no request has to find out.
+ * A home's node may freeze, lose power or be partitioned while entries send it
+ * a steady load. Running reads are then aborted so that they can be retried,
+ * new requests go to the next choice, and pings detect when the home answers
+ * again, so that no request is spent on finding out.
  */
 import {WorkHealth} from '../membership/work-health.js';
 import type {PeerAddress, PeerCaller} from '../peers/types.js';
@@ -12,27 +12,27 @@
 import {sleepToTick} from '../infra/timer.js';
 import type {Logger} from '../telemetry/log.js';
 
-/** The peer method that answers at once. */
+/** The peer method that replies at once. */
 export const PING_METHOD = 'home.ping';
 const CHECK_PERIOD_MS = 100;
 const PING_PERIOD_MS = 200;
 const PING_TIMEOUT_MS = 200;
 
-/** A request under way to a home. */
-export interface WatchedRequest {
-  /** Aborts when the caller is gone or the home went silent. */
+/** A request in flight to a home. */
+export interface MonitoredRequest {
+  /** Aborts when the caller disconnects or the home goes silent. */
   readonly signal: AbortSignal;
   end(outcome: 'answered' | 'failed' | 'abandoned'): void;
 }
 
-/** What a watch is built from. */
-export interface HomeWatchOptions {
+/** Options of a home monitor. */
+export interface HomeMonitorOptions {
   readonly clock: Clock;
   readonly peers: PeerCaller;
   readonly log: Logger;
 }
 
-interface Watched {
+interface MonitoredHome {
   readonly address: PeerAddress;
   readonly health: WorkHealth;
   readonly running: Set<AbortController>;
@@ -40,27 +40,29 @@
 }
 
 /**
+ * Tracks the health of each home from the outcome of its requests.
+ *
  * @example
- * const watched = watch.begin(home, signal);
- * await call(watched.signal);
- * watched.end('answered');
+ * const request = monitor.begin(home, signal);
+ * await call(request.signal);
+ * request.end('answered');
  */
 export class HomeWatch {
-  readonly #options: HomeWatchOptions;
-  readonly #homes = new Map<string, Watched>();
+  readonly #options: HomeMonitorOptions;
+  readonly #homes = new Map<string, MonitoredHome>();
 
-  constructor(options: HomeWatchOptions) {
+  constructor(options: HomeMonitorOptions) {
     this.#options = options;
   }
 
-  /** Whether a home gives no sign of life. */
+  /** True if the home has stopped answering. */
   isSilent(id: string): boolean {
     return this.#homes.get(id)?.isSilent ?? false;
   }
 
-  /** Notes that a request is sent. */
-  begin(home: PeerAddress, signal: AbortSignal): WatchedRequest {
-    const watched = this.#watchedOf(home);
+  /** Registers a request; `signal` aborts when its caller disconnects. */
+  begin(home: PeerAddress, signal: AbortSignal): MonitoredRequest {
+    const watched = this.#monitoredHome(home);
     const stop = new AbortController();
     const abort = () => stop.abort();
     signal.addEventListener('abort', abort, {once: true});
@@ -74,29 +76,29 @@
         signal.removeEventListener('abort', abort);
         if (outcome === 'answered') watched.health.noteAnswer();
         if (outcome === 'failed') watched.health.noteFailure();
-        if (watched.health.failures > 0) this.#noteSilent(watched);
+        if (watched.health.failures > 0) this.#markSilent(watched);
       },
     };
   }
 
-  /** Looks after the homes until `signal` aborts. */
+  /** Checks the homes periodically until `signal` aborts. */
   async run(signal: AbortSignal): Promise<void> {
     const {clock} = this.#options;
     while (!signal.aborted) {
       await sleepToTick(clock, CHECK_PERIOD_MS, signal);
       for (const watched of this.#homes.values()) {
-        if (!watched.health.isReachable) this.#noteSilent(watched);
+        if (!watched.health.isReachable) this.#markSilent(watched);
       }
     }
   }
 
-  #watchedOf(address: PeerAddress): Watched {
+  #monitoredHome(address: PeerAddress): MonitoredHome {
     const known = this.#homes.get(address.id);
     const isSame =
       known?.address.host === address.host &&
       known.address.port === address.port;
     if (known !== undefined && isSame) return known;
-    const watched: Watched = {
+    const watched: MonitoredHome = {
       address,
       health: new WorkHealth(this.#options.clock),
       running: new Set(),
@@ -106,7 +108,7 @@
     return watched;
   }
 
-  #noteSilent(watched: Watched): void {
+  #markSilent(watched: MonitoredHome): void {
     if (watched.isSilent) return;
     watched.isSilent = true;
     const {address, health, running} = watched;
@@ -120,7 +122,7 @@
     void this.#pingUntilAlive(watched);
   }
 
-  async #pingUntilAlive(watched: Watched): Promise<void> {
+  async #pingUntilAlive(watched: MonitoredHome): Promise<void> {
     const {clock, peers, log} = this.#options;
     const {address, health} = watched;
     while (this.#homes.get(address.id) === watched) {
@@ -136,7 +138,7 @@
         log.info('homeAnswers', {home: address.id});
         return;
       } catch {
-        // Silent still; the next ping follows.
+        // Still silent: ping again after a pause.
         await clock.sleep(PING_PERIOD_MS);
       }
     }
--- a/src/home/idle-connections.ts
+++ b/src/home/idle-connections.ts
@@ -1,10 +1,10 @@
-/** The connections to one database that nobody uses now. */
+/** The idle connections to one PostgreSQL database. */
 import {serialize} from 'pg-protocol';
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import type {TargetConnection} from '../targets/types.js';
 
-/** A connection unused for longer is asked for a sign of life first. */
+/** A connection idle for longer is checked with a round trip before use. */
 const VALIDATE_AFTER_MS = 1_000;
 const VALIDATE_TIMEOUT_MS = 300;
 const IGNORE_ANSWER = {onFrames: () => {}};
@@ -14,7 +14,7 @@
   readonly since: number;
 }
 
-/** Keeps connections for their next use, the last one used on top. */
+/** A stack of idle connections, the most recently used on top. */
 export class IdleConnections {
   readonly #clock: Clock;
   readonly #idle: IdleConnection[] = [];
@@ -27,7 +27,7 @@
     return this.#idle.length;
   }
 
-  /** Keeps a connection. */
+  /** Adds a connection. */
   add(connection: TargetConnection): void {
     this.#idle.push({connection, since: this.#clock.now()});
   }
@@ -40,8 +40,8 @@
       const {connection, since} = idle;
       if (!connection.usable) continue;
       if (this.#clock.now() - since < VALIDATE_AFTER_MS) return connection;
-      if (await this.#answers(connection)) return connection;
-      // What made this one silent is likely to have taken the others along.
+      if (await this.#isAlive(connection)) return connection;
+      // Whatever broke this connection has probably broken the others too.
       this.closeAll();
     }
   }
@@ -51,8 +51,8 @@
     for (const {connection} of this.#idle.splice(0)) connection.close();
   }
 
-  /** Whether a connection answers; something between may have lost it. */
-  async #answers(connection: TargetConnection): Promise<boolean> {
+  /** Checks a connection, which the network may have dropped unnoticed. */
+  async #isAlive(connection: TargetConnection): Promise<boolean> {
     const cancel = startTimer(this.#clock, VALIDATE_TIMEOUT_MS, () =>
       connection.close(),
     );
--- a/src/home/messages.ts
+++ b/src/home/messages.ts
@@ -1,4 +1,4 @@
-/** The peer methods of a group's home and the checks on their bodies. */
+/** Peer methods of a group's home, and validation of their bodies. */
 import type {ExecRequest} from './types.js';
 
 /** Names of the peer methods. */
@@ -10,25 +10,25 @@
   switchPrimary: 'home.switch',
 } as const;
 
-/** Names an open transaction. */
+/** Body of a request to roll back an open transaction. */
 export interface ReleaseMessage {
   readonly group: string;
   readonly pin: string;
 }
 
-/** Names a session whose statement is to be stopped. */
+/** Body of a request to cancel a session's statement. */
 export interface CancelMessage {
   readonly group: string;
   readonly sessionId: string;
 }
 
-/** Names a database. */
+/** Body of a request about one database. */
 export interface DatabaseMessage {
   readonly group: string;
   readonly databaseId: string;
 }
 
-/** Whether a peer's body is a batch to run. */
+/** Returns whether a peer's body is a batch to run. */
 export function isExecRequest(body: unknown): body is ExecRequest {
   const req = body as Partial<ExecRequest> | null;
   return (
@@ -44,7 +44,7 @@
   );
 }
 
-/** Whether a peer's body has the given fields, all strings. */
+/** Returns whether a peer's body has all the given fields as strings. */
 export function hasStrings<Field extends string>(
   body: unknown,
   ...fields: readonly Field[]
--- a/src/home/open-transactions.ts
+++ b/src/home/open-transactions.ts
@@ -1,101 +1,101 @@
-/** Open transactions at a home; each keeps one connection. */
+/** Open transactions at a home; each reserves one connection. */
 import {randomBytes} from 'node:crypto';
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick, startTimer} from '../infra/timer.js';
-import type {LaneConnection, Slot} from './lane.js';
+import type {PooledConnection, Slot} from './connection-pool.js';
 
 const SWEEP_PERIOD_MS = 1_000;
 const ROLLBACK_TIMEOUT_MS = 1_000;
-const EPOCH_BYTES = 4;
+const PIN_PREFIX_BYTES = 4;
 
-/** A transaction and the connection that it keeps. */
+/** A transaction and the connection reserved for it. */
 export interface PinnedTransaction<C> {
   readonly slot: Slot<C>;
   readonly databaseId: string;
   readonly sessionId: string;
 }
 
-/** Settings of the open transactions. */
+/** Options of the open transactions. */
 export interface OpenTransactionsOptions<C> {
   readonly clock: Clock;
-  /** How long a transaction may stand idle before it is rolled back. */
+  /** Returns how long a transaction may be idle before it is rolled back. */
   readonly maxIdleMs: () => number;
   /** Rolls back on a connection; may reject. */
   readonly rollBack: (connection: C) => Promise<unknown>;
-  /** Called with each transaction that stood idle for too long. */
-  readonly onIdleEnd?: (transaction: PinnedTransaction<C>) => void;
+  /** Called with each transaction that exceeds the idle timeout. */
+  readonly onIdleTimeout?: (transaction: PinnedTransaction<C>) => void;
 }
 
-interface Kept<T> {
+interface IdleTransaction<T> {
   readonly transaction: T;
-  readonly keptAt: number;
+  readonly idleSince: number;
 }
 
 /** The open transactions of one group at this home. */
 export class OpenTransactions<
-  C extends LaneConnection,
+  C extends PooledConnection,
   T extends PinnedTransaction<C> = PinnedTransaction<C>,
 > {
   readonly #options: OpenTransactionsOptions<C>;
-  readonly #kept = new Map<string, Kept<T>>();
+  readonly #idle = new Map<string, IdleTransaction<T>>();
   readonly #stopping = new AbortController();
-  /** Keeps names apart from those of an earlier process on this VM. */
-  readonly #epoch = randomBytes(EPOCH_BYTES).toString('hex');
-  #named = 0;
+  /** Keeps pins distinct from those of an earlier process on this VM. */
+  readonly #epoch = randomBytes(PIN_PREFIX_BYTES).toString('hex');
+  #pinCount = 0;
 
   constructor(options: OpenTransactionsOptions<C>) {
     this.#options = options;
   }
 
-  /** Transactions that wait for their next statement. */
+  /** Number of transactions that wait for their next statement. */
   get size(): number {
-    return this.#kept.size;
+    return this.#idle.size;
   }
 
-  /** Whether a transaction waits for its next statement here. */
+  /** Returns whether a transaction waits for its next statement here. */
   has(pin: string): boolean {
-    return this.#kept.has(pin);
+    return this.#idle.has(pin);
   }
 
-  /** Begins to roll back transactions that stand idle for too long. */
+  /** Starts rolling back transactions that exceed the idle timeout. */
   start(): void {
     void this.#sweep();
   }
 
-  /** Rolls everything back. */
+  /** Rolls all transactions back. */
   stop(): void {
     this.#stopping.abort();
-    for (const pin of [...this.#kept.keys()]) this.release(pin);
+    for (const pin of [...this.#idle.keys()]) this.release(pin);
   }
 
-  /** Keeps a transaction between two statements; returns its name. */
-  keep(transaction: T, pin: string = this.#nextName()): string {
-    const keptAt = this.#options.clock.now();
-    this.#kept.set(pin, {transaction, keptAt});
+  /** Keeps a transaction until its next statement; returns its pin. */
+  add(transaction: T, pin: string = this.#nextPin()): string {
+    const idleSince = this.#options.clock.now();
+    this.#idle.set(pin, {transaction, idleSince});
     return pin;
   }
 
-  /** Takes a transaction out for its next statement. */
+  /** Removes and returns a transaction to run its next statement. */
   take(pin: string): T | undefined {
-    const kept = this.#kept.get(pin);
-    this.#kept.delete(pin);
-    return kept?.transaction;
+    const idle = this.#idle.get(pin);
+    this.#idle.delete(pin);
+    return idle?.transaction;
   }
 
-  /** Rolls a transaction back and gives its connection back. */
+  /** Rolls a transaction back and releases its connection. */
   release(pin: string): void {
-    const kept = this.take(pin);
-    if (kept !== undefined) this.rollBack(kept.slot);
+    const transaction = this.take(pin);
+    if (transaction !== undefined) this.rollBack(transaction.slot);
   }
 
-  /** Rolls back what is open on a slot, then gives the slot back. */
+  /** Rolls back the transaction on a slot, then releases the slot. */
   rollBack(slot: Slot<C>): void {
     void this.#endTransaction(slot);
   }
 
-  #nextName(): string {
-    this.#named += 1;
-    return `${this.#epoch}-${this.#named.toString(36)}`;
+  #nextPin(): string {
+    this.#pinCount += 1;
+    return `${this.#epoch}-${this.#pinCount.toString(36)}`;
   }
 
   async #endTransaction(slot: Slot<C>): Promise<void> {
@@ -106,7 +106,7 @@
     try {
       await rollBack(slot.connection);
     } catch {
-      // A lost connection has ended the transaction as well.
+      // A lost connection ends its transaction as well.
     } finally {
       cancel();
       slot.release();
@@ -115,13 +115,13 @@
 
   async #sweep(): Promise<void> {
     const {signal} = this.#stopping;
-    const {clock, maxIdleMs, onIdleEnd} = this.#options;
+    const {clock, maxIdleMs, onIdleTimeout} = this.#options;
     while (!signal.aborted) {
       await sleepToTick(clock, SWEEP_PERIOD_MS, signal);
-      const oldest = clock.now() - maxIdleMs();
-      for (const [pin, {transaction, keptAt}] of [...this.#kept]) {
-        if (keptAt >= oldest) continue;
-        onIdleEnd?.(transaction);
+      const oldestAllowed = clock.now() - maxIdleMs();
+      for (const [pin, {transaction, idleSince}] of [...this.#idle]) {
+        if (idleSince >= oldestAllowed) continue;
+        onIdleTimeout?.(transaction);
         this.release(pin);
       }
     }
--- a/src/home/transactions.ts
+++ b/src/home/pg-open-transactions.ts
@@ -4,12 +4,12 @@
 import type {TargetConnection} from '../targets/types.js';
 import {OpenTransactions} from './open-transactions.js';
 
-/** How long a transaction may stand idle before it is rolled back. */
+/** How long a transaction may be idle before it is rolled back. */
 const MAX_IDLE_MS = 60_000;
 const IGNORE_ANSWER = {onFrames: () => {}};
 
-/** The open transactions of one group at this home. */
-export class Transactions extends OpenTransactions<TargetConnection> {
+/** The open transactions of one group of PostgreSQL databases. */
+export class PgOpenTransactions extends OpenTransactions<TargetConnection> {
   constructor(clock: Clock) {
     super({
       clock,
--- a/src/home/primary-writes.ts
+++ b/src/home/primary-writes.ts
@@ -1,31 +1,31 @@
-/** Runs writes, and opens transactions that may write, at the primary. */
+/** Runs writes and opens read-write transactions at the primary. */
 import type {DatabaseReply} from '../statements/types.js';
 import {notRun, type Verdict} from '../verdict/verdict.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
-import type {Slot} from './lane.js';
+import type {Slot} from './connection-pool.js';
 import {
   acquireSlot,
   answered,
   connectionVerdict,
-  isNotRun,
+  wasRefused,
   noPrimary,
-  noteBegin,
-  rolledBack,
+  recordBegin,
+  rolledBackVerdict,
   runStatement,
-  tooManyTransactions,
+  tooManyTransactionsVerdict,
   type StatementAttempt,
 } from './statement-attempt.js';
 import {failedStatement, type StatementResult} from './statement-request.js';
 
-/** Tries of one write, of which all but the last are known not to have run. */
+/** Maximum number of tries; only a write that did not run is retried. */
 const MAX_TRIES = 3;
-const BUSY_PAUSE_MS = 10;
+const RETRY_PAUSE_MS = 10;
 const REFUSED_RETRY_MS = 100;
 
-/** What one try came to; without a result another one may follow. */
-type Try =
+/** Outcome of one try; without a result the write may be retried. */
+type TryOutcome =
   | {readonly result: StatementResult}
   | {readonly result: undefined; readonly verdict: Verdict};
 
@@ -52,25 +52,25 @@
       } finally {
         leave();
       }
-      await clock.sleep(BUSY_PAUSE_MS);
+      await clock.sleep(RETRY_PAUSE_MS);
     }
     return failedStatement(last ?? noPrimary(this.#ctx));
   }
 
-  async #tryPrimary(attempt: StatementAttempt): Promise<Try> {
+  async #tryPrimary(attempt: StatementAttempt): Promise<TryOutcome> {
     const {members, leadership, clock} = this.#ctx;
     const member = members.get(leadership.leaderId ?? '');
     if (member === undefined || !member.health.isReachable) {
       return {result: undefined, verdict: noPrimary(this.#ctx)};
     }
-    const isLate = attempt.aimAt <= clock.now();
-    const queueUntil = isLate ? attempt.deadlineAt : attempt.aimAt;
+    const isLate = attempt.latencyGoalAt <= clock.now();
+    const queueUntil = isLate ? attempt.deadlineAt : attempt.latencyGoalAt;
     const acquired = await acquireSlot(attempt, member, queueUntil);
     if (acquired.kind === 'refused') {
       return {result: failedStatement(acquired.verdict)};
     }
     const {slot} = acquired;
-    const end = member.begin(slot.connection);
+    const end = member.trackWork(slot.connection);
     try {
       if (attempt.req.opens !== undefined) {
         return await this.#open(attempt, member, slot);
@@ -90,38 +90,39 @@
   async #write(
     attempt: StatementAttempt,
     member: GroupMember,
-    slot: Slot<BoundConnection>,
-  ): Promise<Try> {
+    slot: Slot<TeamConnection>,
+  ): Promise<TryOutcome> {
     const reply = await this.#run(attempt, member, slot.connection);
     slot.release();
-    if (isNotRun(reply)) return this.#notRun(member, reply);
+    if (wasRefused(reply)) return this.#notRun(member, reply);
     return {result: answered(reply, {position: reply.position})};
   }
 
   async #open(
     attempt: StatementAttempt,
     member: GroupMember,
-    slot: Slot<BoundConnection>,
-  ): Promise<Try> {
+    slot: Slot<TeamConnection>,
+  ): Promise<TryOutcome> {
     const {transactions, clock} = this.#ctx;
-    if (!member.lane.mayPin) {
+    if (!member.pool.mayPin) {
       slot.release();
-      return {result: failedStatement(tooManyTransactions(member.id))};
+      return {result: failedStatement(tooManyTransactionsVerdict(member.id))};
     }
     const {connection} = slot;
     const sentAt = clock.now();
-    const leftMs = Math.max(1, attempt.deadlineAt - sentAt);
-    // Not in one go with the statement: refused, it would leave that outside.
+    const timeoutMs = Math.max(1, attempt.deadlineAt - sentAt);
+    // Sent on its own: if begin were refused, a statement sent along with it
+    // would run outside the transaction.
     const [begun] = await connection.run(
       [{kind: 'begin', readOnly: false}],
-      leftMs,
+      timeoutMs,
     );
     if (begun?.kind !== 'done') {
       transactions.rollBack(slot);
       return this.#notRun(member, begun);
     }
-    member.noteReply(begun);
-    noteBegin(this.#ctx, member, begun, sentAt);
+    member.recordReply(begun);
+    recordBegin(this.#ctx, member, begun, sentAt);
     let reply: DatabaseReply;
     try {
       reply = await this.#run(attempt, member, connection);
@@ -130,19 +131,19 @@
       if (attempt.req.commits) throw err;
       slot.release();
       member.health.noteFailure();
-      return {result: failedStatement(rolledBack(verdict), 'failed')};
+      return {result: failedStatement(rolledBackVerdict(verdict), 'failed')};
     }
-    return this.#conclude(attempt, member, slot, reply);
+    return this.#finishOpening(attempt, member, slot, reply);
   }
 
-  #conclude(
+  #finishOpening(
     {req}: StatementAttempt,
     member: GroupMember,
-    slot: Slot<BoundConnection>,
+    slot: Slot<TeamConnection>,
     reply: DatabaseReply,
-  ): Try {
+  ): TryOutcome {
     const {transactions} = this.#ctx;
-    if (isNotRun(reply)) {
+    if (wasRefused(reply)) {
       transactions.rollBack(slot);
       return this.#notRun(member, reply);
     }
@@ -157,19 +158,19 @@
     slot.pin();
     const {sessionId} = req;
     const databaseId = member.id;
-    const pin = transactions.keep({slot, sessionId, databaseId, member});
+    const pin = transactions.add({slot, sessionId, databaseId, member});
     return {result: answered(reply, {transaction: 'open', pin})};
   }
 
   #run(
     {req, deadlineAt}: StatementAttempt,
     member: GroupMember,
-    connection: BoundConnection,
+    connection: TeamConnection,
   ): Promise<DatabaseReply> {
     return runStatement(this.#ctx.clock, req, member, connection, deadlineAt);
   }
 
-  #notRun(member: GroupMember, reply: DatabaseReply | undefined): Try {
+  #notRun(member: GroupMember, reply: DatabaseReply | undefined): TryOutcome {
     const code = reply?.kind === 'error' ? reply.code : 'no reply';
     if (code === 'notLeader') {
       this.#ctx.leadership.noteRefused(member.id);
--- a/src/home/read-loop.ts
+++ b/src/home/read-loop.ts
@@ -1,9 +1,9 @@
-/** Repeats a read until a database serves it or there is no hope left. */
+/** Retries and hedges a read until a database serves it or none can. */
 import {isRetryable, type RetryBudget} from '../verdict/retry.js';
 import {mayHaveRun, notRun} from '../verdict/verdict.js';
 import type {GroupDatabases} from './group-databases.js';
 import type {ReadOutcome, ReadPath} from './read-path.js';
-import {ReadRace, type ReadEntrant} from './read-race.js';
+import {HedgedRead, type HedgedTry} from './read-race.js';
 import {
   CANCELLED,
   failedResult,
@@ -11,31 +11,31 @@
   type ExecResult,
 } from './types.js';
 
-/** How long to wait before the databases are looked at again. */
+/** How long to wait for a change before all databases are tried again. */
 const CHANGE_WAIT_MS = 50;
-/** When to come back while no majority of the databases answers. */
-const HOPELESS_RETRY_MS = 2_000;
-/** The least time in which a read can still succeed. */
+/** Retry delay while no majority of the databases answers. */
+const NO_MAJORITY_RETRY_MS = 2_000;
+/** Minimum time left for another try. */
 const MIN_ATTEMPT_MS = 5;
 
-/** What the loop is built from. */
+/** Options of a read loop. */
 export interface ReadLoopOptions {
   readonly databases: GroupDatabases;
   readonly path: ReadPath;
   readonly retries: RetryBudget;
 }
 
-/** One read and its tries. */
-interface Read extends ExecAttempt {
-  readonly race: ReadRace;
+/** One read and its concurrent tries. */
+interface HedgedAttempt extends ExecAttempt {
+  readonly hedged: HedgedRead;
 }
 
 /**
- * Serves reads on one group.
+ * Runs reads on one group.
  *
- * A connection can go silent without a sign, and a read can just be slow. A
- * read without an answer for a part of its time is therefore hedged: it starts
- * at another database, or on another connection, while the first try goes on.
+ * A silent connection can't be told from a slow read. A read that is still
+ * unanswered after a share of its time is therefore hedged: a second try starts
+ * at another database or on another connection while the first one continues.
  */
 export class ReadLoop {
   readonly #options: ReadLoopOptions;
@@ -44,49 +44,49 @@
     this.#options = options;
   }
 
-  /** Serves one read. Never rejects. */
+  /** Runs one read. Never rejects. */
   async run(attempt: ExecAttempt): Promise<ExecResult> {
-    const race = new ReadRace(attempt.sink);
-    const read = {...attempt, race};
+    const hedged = new HedgedRead(attempt.sink);
+    const read = {...attempt, hedged};
     this.#options.retries.deposit();
     const hedges: Promise<ExecResult>[] = [];
     const onSlow = (databaseId: string) => {
       if (hedges.length > 0 || !this.#mayHedge(read)) return;
       const avoid = new Set([databaseId]);
-      hedges.push(this.#tryUntilFinal(read, race.enter(), avoid, () => {}));
+      hedges.push(this.#tryUntilFinal(read, hedged.start(), avoid, () => {}));
     };
-    const first = race.enter();
+    const first = hedged.start();
     const result = await this.#tryUntilFinal(read, first, new Set(), onSlow);
     const [hedge] = hedges;
-    if (hedge === undefined || race.winner === first) return result;
+    if (hedge === undefined || hedged.winner === first) return result;
     const other = await hedge;
-    if (race.winner !== undefined) return other;
+    if (hedged.winner !== undefined) return other;
     return other.verdict.kind === 'mayHaveRun' ? other : result;
   }
 
-  #mayHedge({signal, cancelled, race}: Read): boolean {
-    if (signal.aborted || cancelled.aborted || race.winner !== undefined)
+  #mayHedge({signal, cancelled, hedged}: HedgedAttempt): boolean {
+    if (signal.aborted || cancelled.aborted || hedged.winner !== undefined)
       return false;
     return this.#options.retries.tryWithdraw();
   }
 
   async #tryUntilFinal(
-    read: Read,
-    entrant: ReadEntrant,
+    read: HedgedAttempt,
+    currentTry: HedgedTry,
     avoid: Set<string>,
     onSlow: (databaseId: string) => void,
   ): Promise<ExecResult> {
     const {databases, path} = this.#options;
-    const attempt = {...read, avoid, onSlow, ...entrant};
+    const attempt = {...read, avoid, onSlow, ...currentTry};
     let lost: ExecResult | undefined;
     try {
       for (;;) {
         const outcome = await path.attempt(attempt);
         if (outcome.result.verdict.kind === 'done') return outcome.result;
-        if (outcome.forwarded) return failedResult(brokenOff());
+        if (outcome.forwarded) return failedResult(cutOffVerdict());
         if (outcome.lost) lost = outcome.result;
-        const final = this.#finalResult(outcome, read, entrant);
-        // An earlier try may have run, whatever became of the last one.
+        const final = this.#finalResult(outcome, read, currentTry);
+        // An earlier try may have run even if the last one was refused.
         if (final !== undefined) return lost ?? final;
         if (outcome.databaseId !== undefined) {
           avoid.add(outcome.databaseId);
@@ -96,15 +96,15 @@
         await databases.waitForChange(CHANGE_WAIT_MS, read.signal);
       }
     } finally {
-      read.race.leave(entrant);
+      read.hedged.finish(currentTry);
     }
   }
 
-  /** The result if another try is not allowed or of no use. */
+  /** Returns the result if another try is not allowed or pointless. */
   #finalResult(
     outcome: ReadOutcome,
-    {deadlineAt, signal, cancelled, race}: Read,
-    entrant: ReadEntrant,
+    {deadlineAt, signal, cancelled, hedged}: HedgedAttempt,
+    currentTry: HedgedTry,
   ): ExecResult | undefined {
     const {databases, retries} = this.#options;
     const {result, lost, databaseId} = outcome;
@@ -114,20 +114,20 @@
     }
     if (signal.aborted || !isRetryable(result.verdict, true)) return result;
     if (deadlineAt - databases.clock.now() < MIN_ATTEMPT_MS) return result;
-    if (entrant.signal.aborted) return result;
-    // The other entrant is the next try.
-    if (databaseId !== undefined && race.isContested) return result;
-    if (databases.isHopeless && databaseId === undefined) {
+    if (currentTry.signal.aborted) return result;
+    // The concurrent try takes the place of a retry.
+    if (databaseId !== undefined && hedged.hasSeveralTries) return result;
+    if (databases.hasLostMajority && databaseId === undefined) {
       const message = `too few databases of group ${databases.spec.name} answer`;
-      return failedResult(notRun('noPrimary', message, HOPELESS_RETRY_MS));
+      return failedResult(notRun('noPrimary', message, NO_MAJORITY_RETRY_MS));
     }
-    // What reached no database adds no load, and a replica that falls short
-    // is left at once: neither is counted.
+    // A try that reached no database added no load, and a lagging replica
+    // refuses at once: neither counts against the retry budget.
     if (lost && !retries.tryWithdraw()) return result;
     return undefined;
   }
 }
 
-function brokenOff() {
+function cutOffVerdict() {
   return mayHaveRun('targetLost', 'the answer to the read broke off');
 }
--- a/src/home/read-path.ts
+++ b/src/home/read-path.ts
@@ -1,4 +1,4 @@
-/** Serves reads: at a replica that the session may read, or the primary. */
+/** Runs reads at a replica that is fresh enough, or at the primary. */
 import type {ProviderWeights, ReadChoice} from '../routing/replica-choice.js';
 import type {Position} from '../session/position.js';
 import {TargetError} from '../targets/types.js';
@@ -8,24 +8,24 @@
 import {failedResult, type ExecAttempt, type ExecResult} from './types.js';
 
 const PRIMARY_RETRY_MS = 200;
-/** The part of the time left, once it has a slot, after which a run is slow. */
-const SLOW_SHARE = 0.4;
+/** Share of the time left at the grant of its slot after which a read is slow. */
+const SLOW_AFTER_SHARE = 0.4;
 
-/** What a read path is built from. */
+/** Options of a read path. */
 export interface ReadPathOptions {
   readonly databases: GroupDatabases;
   readonly weights: () => ProviderWeights;
-  /** How long a read may wait for a replica rather than go to the primary. */
+  /** How long a read may wait for a replica before it uses the primary. */
   readonly maxWaitMs: number;
 }
 
-/** One read and where its answer goes. */
+/** One read, the databases to avoid and the receiver of its answer. */
 export interface ReadAttempt extends ExecAttempt {
-  /** Databases that failed this read before. */
+  /** Databases that have already failed this read. */
   readonly avoid: ReadonlySet<string>;
-  /** Aborts when the answer is not wanted any more. */
+  /** Aborts when the answer is no longer needed. */
   readonly signal: AbortSignal;
-  /** Called when it has run for long and given no part of an answer. */
+  /** Called when the read is slow and no part of its answer was forwarded. */
   readonly onSlow: (databaseId: string) => void;
 }
 
@@ -33,9 +33,9 @@
 export interface ReadOutcome {
   readonly result: ExecResult;
   readonly databaseId: string | undefined;
-  /** Whether the read was sent and no answer came. */
+  /** True if the read was sent and its answer was lost. */
   readonly lost: boolean;
-  /** Whether the caller has received a part of the answer. */
+  /** True if the caller has received a part of the answer. */
   readonly forwarded: boolean;
 }
 
@@ -47,7 +47,7 @@
     this.#options = options;
   }
 
-  /** Tries a read once. Never rejects. */
+  /** Tries a read at one database. Never rejects. */
   async attempt(attempt: ReadAttempt): Promise<ReadOutcome> {
     const {databases} = this.#options;
     let choice = this.#choose(attempt, this.#options.maxWaitMs);
@@ -90,25 +90,26 @@
     const answer = new ReadAnswer(
       req.token,
       attempt.sink,
-      shown =>
+      position =>
         role === 'primary' ||
-        databases.reads.ageOfShown(databaseId, shown) <= req.staleMs,
+        databases.reads.ageOfShown(databaseId, position) <= req.staleMs,
     );
-    const lane = databases.lane(databaseId);
+    const pool = databases.pool(databaseId);
     const {team, priority} = req;
-    const acquired = await lane?.acquire({
+    const acquired = await pool?.acquire({
       team,
       priority,
       deadlineAt,
       cancelled,
     });
-    if (acquired === undefined) return failed(gone(databaseId), databaseId);
+    if (acquired === undefined)
+      return failed(goneVerdict(databaseId), databaseId);
     if (acquired.kind === 'refused')
       return failed(acquired.verdict, databaseId);
     const {slot} = acquired;
     if (attempt.signal.aborted) {
       slot.release();
-      return failed(notWanted(), databaseId);
+      return failed(alreadyAnsweredVerdict(), databaseId);
     }
     const current =
       role === 'primary'
@@ -124,7 +125,7 @@
         observer: answer,
         deadlineAt,
         signal: attempt.signal,
-        slowAt: now + (deadlineAt - now) * SLOW_SHARE,
+        slowAt: now + (deadlineAt - now) * SLOW_AFTER_SHARE,
         onSlow: () => {
           if (!answer.forwarded) attempt.onSlow(databaseId);
         },
@@ -158,8 +159,8 @@
   }
 
   /**
-   * Proves that no newer primary existed when the read arrived. Runs beside
-   * the read itself: a confirmation after the arrival is enough.
+   * Proves that no newer primary existed when the read arrived. Runs in
+   * parallel with the read, as any confirmation after its arrival is enough.
    */
   async #confirmTerm(
     primaryId: string,
@@ -193,7 +194,7 @@
   };
 }
 
-function gone(databaseId: string): Verdict {
+function goneVerdict(databaseId: string): Verdict {
   return notRun(
     'targetUnavailable',
     `database ${databaseId} left the group`,
@@ -201,7 +202,7 @@
   );
 }
 
-function notWanted(): Verdict {
+function alreadyAnsweredVerdict(): Verdict {
   return notRun('targetUnavailable', 'another try answered the read', 0);
 }
 
--- a/src/home/read-race.ts
+++ b/src/home/read-race.ts
@@ -1,57 +1,57 @@
-/** Lets two tries of one read run side by side, of which one answers. */
+/** Concurrent tries of one read, of which one answers. */
 import type {PartSink} from './types.js';
 
-/** One try's part in a race. */
-export interface ReadEntrant {
-  /** Aborts once another entrant answers. */
+/** One of the concurrent tries. */
+export interface HedgedTry {
+  /** Aborts once another try answers. */
   readonly signal: AbortSignal;
-  /** Passes the parts of the answer on, unless another entrant answers. */
+  /** Forwards the parts of the answer, unless another try answers. */
   readonly sink: PartSink;
 }
 
-/** The first entrant with a part of the answer is the one that answers. */
-export class ReadRace {
+/** The first try that receives a part of the answer wins; the others abort. */
+export class HedgedRead {
   readonly #sink: PartSink;
-  readonly #entrants = new Map<ReadEntrant, AbortController>();
-  #winner: ReadEntrant | undefined;
+  readonly #tries = new Map<HedgedTry, AbortController>();
+  #winner: HedgedTry | undefined;
 
   constructor(sink: PartSink) {
     this.#sink = sink;
   }
 
-  /** Whether more than one entrant still tries. */
-  get isContested(): boolean {
-    return this.#entrants.size > 1;
+  /** True if more than one try is running. */
+  get hasSeveralTries(): boolean {
+    return this.#tries.size > 1;
   }
 
-  /** The entrant that answers. */
-  get winner(): ReadEntrant | undefined {
+  /** The try that answers. */
+  get winner(): HedgedTry | undefined {
     return this.#winner;
   }
 
-  /** Adds an entrant. */
-  enter(): ReadEntrant {
+  /** Adds a try. */
+  start(): HedgedTry {
     const lost = new AbortController();
-    const entrant: ReadEntrant = {
+    const started: HedgedTry = {
       signal: lost.signal,
       sink: async frames => {
-        if (this.#claim(entrant)) await this.#sink(frames);
+        if (this.#claimAnswer(started)) await this.#sink(frames);
       },
     };
-    this.#entrants.set(entrant, lost);
-    return entrant;
+    this.#tries.set(started, lost);
+    return started;
   }
 
-  /** Takes an entrant out that has ended. */
-  leave(entrant: ReadEntrant): void {
-    this.#entrants.delete(entrant);
+  /** Removes a try that has ended. */
+  finish(ended: HedgedTry): void {
+    this.#tries.delete(ended);
   }
 
-  #claim(entrant: ReadEntrant): boolean {
-    if (this.#winner !== undefined) return this.#winner === entrant;
-    this.#winner = entrant;
-    for (const [other, lost] of this.#entrants) {
-      if (other !== entrant) lost.abort();
+  #claimAnswer(claimant: HedgedTry): boolean {
+    if (this.#winner !== undefined) return this.#winner === claimant;
+    this.#winner = claimant;
+    for (const [other, lost] of this.#tries) {
+      if (other !== claimant) lost.abort();
     }
     return true;
   }
--- a/src/home/statement-attempt.ts
+++ b/src/home/statement-attempt.ts
@@ -1,4 +1,4 @@
-/** One statement at its home, and the parts that all ways to run it share. */
+/** A statement at its home, and helpers for reads, writes and transactions. */
 import type {Clock} from '../infra/clock.js';
 import type {DatabaseReply} from '../statements/types.js';
 import {TargetError} from '../targets/types.js';
@@ -9,37 +9,37 @@
   type NotRun,
   type Verdict,
 } from '../verdict/verdict.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
-import type {SlotResult} from './lane.js';
+import type {SlotResult} from './connection-pool.js';
 import type {StatementRequest, StatementResult} from './statement-request.js';
 
-/** The shortest time after which a read without an answer is given up. */
+/** Minimum timeout of a read at one database. */
 const MIN_READ_TIMEOUT_MS = 300;
-/** The same as a multiple of the database's average time of a statement. */
-const READ_TIMEOUT_COSTS = 8;
-/** When to come back while open transactions hold the connections. */
+/** Timeout of a read as a multiple of the database's average statement time. */
+const READ_TIMEOUT_FACTOR = 8;
+/** Retry delay while open transactions hold the connections. */
 const TRANSACTION_RETRY_MS = 50;
 
-/** A statement and its times, on the node's monotonic clock. */
+/** A statement with its times on the node's monotonic clock. */
 export interface StatementAttempt {
   readonly req: StatementRequest;
   readonly signal: AbortSignal;
   readonly arrivedAt: number;
-  /** Until when its answer meets the response time aimed at. */
-  readonly aimAt: number;
-  /** Until when its caller waits. */
+  /** Time by which an answer meets the route's latency goal. */
+  readonly latencyGoalAt: number;
+  /** The caller's deadline. */
   readonly deadlineAt: number;
 }
 
-/** Asks for a slot, in a queue no longer than the statement may wait. */
+/** Requests a slot; queues until `queueUntil` or the deadline at most. */
 export function acquireSlot(
   {req, signal, deadlineAt}: StatementAttempt,
   member: GroupMember,
   queueUntil: number,
-): Promise<SlotResult<BoundConnection>> {
-  return member.lane.acquire({
+): Promise<SlotResult<TeamConnection>> {
+  return member.pool.acquire({
     team: req.team,
     priority: req.priority,
     deadlineAt: Math.min(queueUntil, deadlineAt),
@@ -48,21 +48,21 @@
   });
 }
 
-/** How long a read may go without an answer. */
+/** Returns the timeout of a read at one database. */
 export function readTimeoutMs(
   ctx: HomeContext,
   {deadlineAt}: StatementAttempt,
   member: GroupMember,
 ): number {
-  const patience = Math.max(
+  const timeoutMs = Math.max(
     MIN_READ_TIMEOUT_MS,
-    member.lane.costMs * READ_TIMEOUT_COSTS,
+    member.pool.costMs * READ_TIMEOUT_FACTOR,
   );
-  return Math.max(1, Math.min(patience, deadlineAt - ctx.clock.now()));
+  return Math.max(1, Math.min(timeoutMs, deadlineAt - ctx.clock.now()));
 }
 
 /**
- * Runs a statement on a connection, which is set up for it first.
+ * Applies the session state to a connection and runs a statement on it.
  *
  * @throws TargetError `notSent` or `lost`
  */
@@ -70,19 +70,19 @@
   clock: Clock,
   {values, statement}: StatementRequest,
   member: GroupMember,
-  connection: BoundConnection,
+  connection: TeamConnection,
   deadlineAt: number,
 ): Promise<DatabaseReply> {
-  const leftMs = () => Math.max(1, deadlineAt - clock.now());
-  await connection.prepareFor(values, statement.prepared, leftMs());
+  const remainingMs = () => Math.max(1, deadlineAt - clock.now());
+  await connection.applySession(values, statement.prepared, remainingMs());
   const command = connection.commandFor(statement);
-  const [reply] = await connection.run([command], leftMs());
+  const [reply] = await connection.run([command], remainingMs());
   if (reply === undefined) throw new Error('the database gave no reply');
-  member.noteReply(reply);
+  member.recordReply(reply);
   return reply;
 }
 
-/** The result of a statement that its database answered. */
+/** Creates the result of a statement that its database answered. */
 export function answered(
   reply: DatabaseReply,
   rest: Partial<StatementResult> = {},
@@ -105,7 +105,7 @@
   };
 }
 
-/** The verdict of a statement whose connection failed. */
+/** Creates the verdict of a statement whose connection failed. */
 export function connectionVerdict(err: unknown, databaseId: string): Verdict {
   const reason = err instanceof Error ? err.message : String(err);
   const message = `database ${databaseId}: ${reason}`;
@@ -115,8 +115,8 @@
     : notRun('targetUnavailable', message, 0);
 }
 
-/** Takes what the answer to a transaction's beginning proves of its database. */
-export function noteBegin(
+/** Records what a reply to begin proves about the position and the primary. */
+export function recordBegin(
   {certificates, leadership}: HomeContext,
   member: GroupMember,
   begun: DatabaseReply,
@@ -130,14 +130,14 @@
   }
 }
 
-/** The refusal of what only a primary can serve, while none answers. */
+/** Creates the refusal of a statement for lack of a primary that answers. */
 export function noPrimary({group, primaryRetryMs}: HomeContext): NotRun {
   const message = `group ${group} has no primary that answers now`;
   return notRun('noPrimary', message, primaryRetryMs());
 }
 
-/** The refusal of a transaction for which there is no connection. */
-export function tooManyTransactions(databaseId: string): Verdict {
+/** Creates the refusal of a transaction for lack of connections. */
+export function tooManyTransactionsVerdict(databaseId: string): Verdict {
   return notRun(
     'overloaded',
     `${databaseId} has as many open transactions as its connections allow`,
@@ -145,8 +145,8 @@
   );
 }
 
-/** The verdict of a statement that was lost before its transaction's commit. */
-export function rolledBack(verdict: Verdict): Verdict {
+/** Creates the verdict of a transaction that failed before its commit. */
+export function rolledBackVerdict(verdict: Verdict): Verdict {
   const reason = verdict.kind === 'done' ? 'it was lost' : verdict.message;
   return notRun(
     'targetUnavailable',
@@ -155,13 +155,13 @@
   );
 }
 
-/** Whether a database refused a statement without running it. */
-export function isNotRun(reply: DatabaseReply): boolean {
+/** Returns whether a database refused a statement without running it. */
+export function wasRefused(reply: DatabaseReply): boolean {
   if (reply.kind === 'done') return false;
-  return NOT_RUN_CODES.has(reply.code);
+  return REFUSAL_CODES.has(reply.code);
 }
 
-const NOT_RUN_CODES: ReadonlySet<string> = new Set([
+const REFUSAL_CODES: ReadonlySet<string> = new Set([
   'busy',
   'unknownName',
   'lagging',
--- a/src/home/statement-codec.ts
+++ b/src/home/statement-codec.ts
@@ -1,6 +1,7 @@
 /**
- * Statements and their results as peers send them: by position instead of by
- * name, since bytes between data centres cost more than the work on them.
+ * Encoding of statements and their results between peers. Fields are sent by
+ * position instead of by name, as traffic between data centres costs more than
+ * encoding.
  */
 import type {Consistency} from '../catalog/types.js';
 import type {Position} from '../session/position.js';
@@ -33,7 +34,7 @@
 
 type WirePosition = readonly [term: number, offset: number] | 0;
 
-/** A request by position. */
+/** A request as sent between peers. */
 export type WireRequest = readonly [
   sessionId: string,
   group: string,
@@ -56,7 +57,7 @@
   nearOnly: boolean,
 ];
 
-/** A result by position; the verdict is 0 for work that was done. */
+/** A result as sent between peers; the verdict `done` is sent as 0. */
 export type WireResult = readonly [
   verdict: Verdict | 0,
   transaction: number,
@@ -67,7 +68,7 @@
   error: readonly [code: DatabaseErrorCode, detail: string] | 0,
 ];
 
-/** Writes a request by position. */
+/** Encodes a request. */
 export function encodeRequest(req: StatementRequest): WireRequest {
   const {statement} = req;
   const {prepared} = statement;
@@ -96,7 +97,7 @@
   ];
 }
 
-/** Reads a request; undefined if a peer sent something else. */
+/** Decodes a request; undefined if it is malformed. */
 export function decodeRequest(body: unknown): StatementRequest | undefined {
   if (!Array.isArray(body) || body.length !== REQUEST_FIELDS) return undefined;
   const [
@@ -146,7 +147,7 @@
   };
 }
 
-/** Writes a result by position. */
+/** Encodes a result. */
 export function encodeResult(result: StatementResult): WireResult {
   const {verdict, output} = result;
   return [
@@ -160,7 +161,7 @@
   ];
 }
 
-/** Reads a result. */
+/** Decodes a result. */
 export function decodeResult(body: unknown): StatementResult {
   const [verdict, transaction, pin, position, rows, signature, error] =
     body as WireResult;
--- a/src/home/statement-homes.ts
+++ b/src/home/statement-homes.ts
@@ -1,4 +1,4 @@
-/** The certified homes of the groups whose home is, or was, on this node. */
+/** Opens, serves and closes the certified homes on this node. */
 import type {Catalog, DatabaseEntry} from '../catalog/types.js';
 import type {Clock} from '../infra/clock.js';
 import {runAtTicks} from '../infra/timer.js';
@@ -15,11 +15,11 @@
   type StatementResult,
 } from './statement-request.js';
 
-const REVIEW_PERIOD_MS = 500;
-/** A home that nobody uses and that belongs elsewhere is closed after this. */
-const RETIRE_IDLE_MS = 5_000;
+const UPDATE_PERIOD_MS = 500;
+/** An idle home that another node should serve is closed after this. */
+const CLOSE_IDLE_MS = 5_000;
 
-/** What the homes need of the node. */
+/** Options of the statement homes. */
 export interface StatementHomesOptions extends Omit<
   CertifiedHomeOptions,
   'group' | 'isFirstHome' | 'isResponsible' | 'readerIn'
@@ -28,13 +28,13 @@
   readonly catalog: () => Catalog;
   readonly entries: () => Iterable<DatabaseEntry>;
   readonly isFirstHome: (group: string) => boolean;
-  /** The node that serves a group's reads in a data centre, if any does. */
+  /** Returns the node that serves a group's reads in a data centre. */
   readonly readerIn: (group: string, dataCentre: string) => string | undefined;
-  /** Whether this node is the first choice of those that answer it. */
+  /** Returns whether this node is the first choice among reachable nodes. */
   readonly isResponsible: (group: string) => boolean;
 }
 
-/** Runs statements on the groups whose home is here. */
+/** Runs statements on the groups whose home is on this node. */
 export class StatementHomes implements HomeRunner<
   StatementRequest,
   StatementResult,
@@ -49,7 +49,7 @@
     this.#options = options;
   }
 
-  /** The peer methods that it serves. */
+  /** Handlers of the peer methods. */
   get handlers(): ReadonlyMap<string, PeerHandler> {
     return new Map<string, PeerHandler>([
       [
@@ -58,7 +58,7 @@
           const req = decodeRequest(body);
           const result =
             req === undefined
-              ? malformed()
+              ? malformedResult()
               : await this.execute(req, () => {}, signal);
           return encodeResult(result);
         },
@@ -74,20 +74,23 @@
     ]);
   }
 
-  /** Statements that run and transactions that are open. */
+  /** Number of running statements and open transactions. */
   get active(): number {
-    return [...this.#homes.values()].reduce((sum, one) => sum + one.active, 0);
+    return [...this.#homes.values()].reduce(
+      (sum, home) => sum + home.active,
+      0,
+    );
   }
 
-  /** Begins to open homes where this node is the first choice. */
+  /** Starts opening homes of the groups that this node should serve. */
   start(): void {
     const {signal} = this.#stopping;
-    void runAtTicks(this.#options.clock, REVIEW_PERIOD_MS, signal, () =>
-      this.#review(),
+    void runAtTicks(this.#options.clock, UPDATE_PERIOD_MS, signal, () =>
+      this.#updateHomes(),
     );
   }
 
-  /** Takes no new work; open transactions go on. */
+  /** Refuses new work; open transactions continue. */
   refuseNew(): void {
     this.#refusesNew = true;
   }
@@ -98,12 +101,12 @@
     this.#homes.clear();
   }
 
-  /** Passes on what a database announced; undefined where it is gone. */
+  /** Applies a database's announcement; undefined if it is gone. */
   applyEntry(id: string, entry: DatabaseEntry | undefined): void {
     for (const [group, home] of this.#homes) {
-      // An id may have come back under another group.
-      if (group === entry?.group) home.applyEntry(entry);
-      else home.removeEntry(id);
+      // The database may have moved to another group under the same id.
+      if (group === entry?.group) home.applyDatabase(entry);
+      else home.removeDatabase(id);
     }
   }
 
@@ -115,15 +118,15 @@
     if (this.#refusesNew && req.pin === undefined) {
       return failedStatement(notRun('shuttingDown', 'this home is closing', 0));
     }
-    return this.#homeOf(req.group).execute(req, signal);
+    return this.#ensureHome(req.group).execute(req, signal);
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   release(group: string, pin: string): void {
     this.#homes.get(group)?.release(pin);
   }
 
-  #homeOf(group: string): CertifiedHome {
+  #ensureHome(group: string): CertifiedHome {
     const known = this.#homes.get(group);
     if (known !== undefined) return known;
     const {isFirstHome, isResponsible, readerIn, entries, ...common} =
@@ -137,27 +140,28 @@
     });
     this.#homes.set(group, home);
     for (const entry of entries()) {
-      if (entry.group === group) home.applyEntry(entry);
+      if (entry.group === group) home.applyDatabase(entry);
     }
     home.start();
     common.log.info('homeOpened', {group, isFirst: isFirstHome(group)});
     return home;
   }
 
-  /** Whether this node is a group's home, or its reader in this data centre. */
-  #isWanted(group: string): boolean {
+  /** True if this node is a group's home, or its reader in this data centre. */
+  #isServedHere(group: string): boolean {
     const {isFirstHome, readerIn, dataCentre, self} = this.#options;
     return isFirstHome(group) || readerIn(group, dataCentre) === self;
   }
 
-  #review(): void {
+  #updateHomes(): void {
     const {catalog, log} = this.#options;
     for (const group of catalog().groups.keys()) {
-      if (this.#isWanted(group) && !this.#refusesNew) this.#homeOf(group);
+      if (this.#isServedHere(group) && !this.#refusesNew)
+        this.#ensureHome(group);
     }
     for (const [group, home] of this.#homes) {
-      const isOurs = catalog().groups.has(group) && this.#isWanted(group);
-      if (isOurs || home.idleMs < RETIRE_IDLE_MS) continue;
+      const isOurs = catalog().groups.has(group) && this.#isServedHere(group);
+      if (isOurs || home.idleMs < CLOSE_IDLE_MS) continue;
       this.#homes.delete(group);
       home.stop();
       log.info('homeClosed', {group});
@@ -165,7 +169,7 @@
   }
 }
 
-function malformed(): StatementResult {
+function malformedResult(): StatementResult {
   return failedStatement(
     notRun('badRequest', 'a peer sent a malformed statement'),
   );
--- a/src/home/statement-request.ts
+++ b/src/home/statement-request.ts
@@ -1,4 +1,4 @@
-/** What entries ask of a certified home, and what it answers. */
+/** Requests from entry nodes to a certified home, and their results. */
 import type {Consistency} from '../catalog/types.js';
 import type {CallerStatement, StatementOutput} from '../statements/types.js';
 import type {TransactionStatus} from '../targets/types.js';
@@ -6,7 +6,7 @@
 import type {SessionValues} from './bound-connection.js';
 import type {HomeRequest, HomeResult} from './types.js';
 
-/** The peer methods of a certified home. */
+/** Names of the peer methods of a certified home. */
 export const STATEMENT_METHODS = {
   run: 'statement.run',
   release: 'statement.release',
@@ -17,21 +17,21 @@
   readonly statement: CallerStatement;
   readonly consistency: Consistency;
   readonly maxStalenessMs: number;
-  /** Milliseconds left to the response time that the route aims at. */
+  /** Time left to meet the route's latency goal, in milliseconds. */
   readonly aimMs: number;
-  /** The session's last commit in this group. */
+  /** Log position of the session's last commit in this group. */
   readonly position: HomeResult['position'];
   readonly values: SessionValues;
-  /** The transaction that it opens, where it is the first statement of one. */
+  /** The kind of transaction that it opens, if any. */
   readonly opens: 'readOnly' | 'readWrite' | undefined;
 }
 
-/** How a statement ended. */
+/** The outcome of a statement. */
 export interface StatementResult extends HomeResult {
   readonly output: StatementOutput | undefined;
 }
 
-/** The result of a statement that failed with a verdict. */
+/** Creates the result of a statement that failed with a verdict. */
 export function failedStatement(
   verdict: Verdict,
   transaction: TransactionStatus = 'idle',
--- a/src/home/team-connections.ts
+++ b/src/home/team-connections.ts
@@ -1,43 +1,43 @@
 /**
  * The connections of a home to one database, each opened for one team.
  *
- * Load pattern: more teams than a database has connections for, each of them
- * busy at times. Opening a connection takes a slot for longer than most
- * statements, so a team's connection is kept and only that of the team with
- * the most idle ones, the longest unused first, is given up for another team.
+ * There may be more teams than connections, each busy at times. Opening a
+ * connection occupies a slot for longer than most statements run, so idle
+ * connections are kept. At the limit, the least recently used one of the team
+ * with the most idle connections is evicted.
  */
 import type {Clock} from '../infra/clock.js';
 import {TargetError} from '../targets/types.js';
-import type {BoundConnection, SessionValues} from './bound-connection.js';
-import type {ConnectionSupply, SlotRequest} from './lane.js';
+import type {TeamConnection, SessionValues} from './bound-connection.js';
+import type {ConnectionSource, SlotRequest} from './connection-pool.js';
 
-/** A connection unused for longer is asked for a sign of life first. */
+/** A connection idle for longer is checked with a round trip before use. */
 const VALIDATE_AFTER_MS = 1_000;
 const VALIDATE_TIMEOUT_MS = 200;
 
-/** What a connection is wanted for. */
+/** A request for a slot, with the session values it needs. */
 export interface TeamSlotRequest extends SlotRequest {
   readonly values: SessionValues;
 }
 
-/** Settings of the connections to one database. */
+/** Options of the connections to one database. */
 export interface TeamConnectionsOptions {
   readonly clock: Clock;
-  /** Connections that this node may hold. */
+  /** Returns the maximum number of connections of this node. */
   readonly limit: () => number;
   /** @throws TargetError when the database can't be reached */
-  readonly open: (team: string) => Promise<BoundConnection>;
+  readonly open: (team: string) => Promise<TeamConnection>;
 }
 
-/** Keeps the connections to one database by team. */
-export class TeamConnections implements ConnectionSupply<
-  BoundConnection,
+/** Opens, keeps and evicts the connections of each team to one database. */
+export class TeamConnections implements ConnectionSource<
+  TeamConnection,
   TeamSlotRequest
 > {
   readonly #options: TeamConnectionsOptions;
-  /** Idle ones, the last one used at the end. */
-  #idle: BoundConnection[] = [];
-  /** Connections that exist or are being opened. */
+  /** Idle connections, the most recently used at the end. */
+  #idle: TeamConnection[] = [];
+  /** Number of connections that are open or being opened. */
   #open = 0;
 
   constructor(options: TeamConnectionsOptions) {
@@ -48,39 +48,42 @@
     return this.#idle.length;
   }
 
-  /** Connections that exist or are being opened. */
+  /** Number of connections that are open or being opened. */
   get open(): number {
     return this.#open;
   }
 
-  /** Whether a team's request would find a connection open. */
+  /** Returns whether a team has an idle connection. */
   hasIdle(team: string): boolean {
-    return this.#idle.some(one => one.team === team && one.usable);
+    return this.#idle.some(
+      connection => connection.team === team && connection.usable,
+    );
   }
 
-  /** Takes the idle connection that was used last, whichever team's it is. */
-  takeAny(): BoundConnection | undefined {
-    const at = this.#idle.findLastIndex(one => one.usable);
+  /** Takes the most recently used idle connection of any team. */
+  takeAny(): TeamConnection | undefined {
+    const at = this.#idle.findLastIndex(connection => connection.usable);
     return at < 0 ? undefined : this.#idle.splice(at, 1)[0];
   }
 
-  async take({team, values}: TeamSlotRequest): Promise<BoundConnection> {
+  async take({team, values}: TeamSlotRequest): Promise<TeamConnection> {
     for (;;) {
       const connection = this.#takeIdle(team, values);
       if (connection === undefined) break;
       if (!connection.usable) continue;
-      const unusedMs = this.#options.clock.now() - connection.lastAnswerAt;
-      if (unusedMs < VALIDATE_AFTER_MS) return connection;
-      if (await connection.isAlive(VALIDATE_TIMEOUT_MS)) return connection;
+      const idleMs = this.#options.clock.now() - connection.lastAnswerAt;
+      if (idleMs < VALIDATE_AFTER_MS) return connection;
+      if (await connection.resetAndCheck(VALIDATE_TIMEOUT_MS))
+        return connection;
       connection.close();
-      // What made this one silent is likely to have taken the others along.
-      this.closeUnusedSince(connection.lastAnswerAt);
+      // Whatever broke this connection has probably broken the others too.
+      this.closeSilentSince(connection.lastAnswerAt);
     }
     if (this.#open >= this.#options.limit()) this.#evict();
-    return this.#openFor(team);
+    return this.#openConnection(team);
   }
 
-  add(connection: BoundConnection): void {
+  add(connection: TeamConnection): void {
     this.#idle.push(connection);
   }
 
@@ -88,16 +91,17 @@
     for (const connection of this.#idle.splice(0)) connection.close();
   }
 
-  /** Closes the idle connections that have not answered since a moment. */
-  closeUnusedSince(moment: number): void {
-    const isSilent = (one: BoundConnection) => one.lastAnswerAt <= moment;
+  /** Closes the idle connections that have not answered since a given time. */
+  closeSilentSince(moment: number): void {
+    const isSilent = (connection: TeamConnection) =>
+      connection.lastAnswerAt <= moment;
     const silent = this.#idle.filter(isSilent);
-    this.#idle = this.#idle.filter(one => !isSilent(one));
+    this.#idle = this.#idle.filter(connection => !isSilent(connection));
     for (const connection of silent) connection.close();
   }
 
-  /** Opens a connection, whatever is idle. */
-  async #openFor(team: string): Promise<BoundConnection> {
+  /** Opens a connection for a team. */
+  async #openConnection(team: string): Promise<TeamConnection> {
     this.#open += 1;
     try {
       const connection = await this.#options.open(team);
@@ -109,8 +113,8 @@
     }
   }
 
-  /** The team's connection that needs the least to suit the session. */
-  #takeIdle(team: string, values: SessionValues): BoundConnection | undefined {
+  /** Takes the team's connection whose session values differ the least. */
+  #takeIdle(team: string, values: SessionValues): TeamConnection | undefined {
     const ranked = this.#idle
       .map((connection, index) => ({connection, index}))
       .filter(({connection}) => connection.team === team)
@@ -125,14 +129,16 @@
     return best.connection;
   }
 
-  /** Gives up one idle connection of another team. */
+  /** Closes an idle connection of the team that has the most of them. */
   #evict(): void {
     const counts = new Map<string, number>();
     for (const {team} of this.#idle) {
       counts.set(team, (counts.get(team) ?? 0) + 1);
     }
-    const most = Math.max(0, ...counts.values());
-    const index = this.#idle.findIndex(({team}) => counts.get(team) === most);
+    const highest = Math.max(0, ...counts.values());
+    const index = this.#idle.findIndex(
+      ({team}) => counts.get(team) === highest,
+    );
     const [evicted] = index < 0 ? [] : this.#idle.splice(index, 1);
     if (evicted === undefined) {
       throw new TargetError(
@@ -144,7 +150,8 @@
   }
 }
 
-function mismatch(connection: BoundConnection, values: SessionValues): number {
-  if (connection.holds(values)) return 0;
-  return connection.isBlank ? 1 : 2;
+/** Ranks how much of a connection's session state must change; 0 is none. */
+function mismatch(connection: TeamConnection, values: SessionValues): number {
+  if (connection.hasExactly(values)) return 0;
+  return connection.hasNoValues ? 1 : 2;
 }
--- a/src/home/transaction-statements.ts
+++ b/src/home/transaction-statements.ts
@@ -1,14 +1,14 @@
 /** Runs the later statements of open transactions. */
 import type {DatabaseReply} from '../statements/types.js';
 import {notRun} from '../verdict/verdict.js';
-import type {BoundConnection} from './bound-connection.js';
+import type {TeamConnection} from './bound-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
 import type {PinnedTransaction} from './open-transactions.js';
 import {
   answered,
   connectionVerdict,
-  rolledBack,
+  rolledBackVerdict,
   runStatement,
 } from './statement-attempt.js';
 import {
@@ -17,19 +17,19 @@
   type StatementResult,
 } from './statement-request.js';
 
-/** How often a statement is repeated that found no slot. */
-const BUSY_TRIES = 6;
+/** Maximum number of tries of a statement that finds the database busy. */
+const MAX_BUSY_TRIES = 6;
 const BUSY_PAUSE_MS = 12;
 
-/** An open transaction and the database that it runs on. */
-export interface OpenTransaction extends PinnedTransaction<BoundConnection> {
+/** An open transaction and the database it runs on. */
+export interface OpenTransaction extends PinnedTransaction<TeamConnection> {
   readonly member: GroupMember;
 }
 
 /**
- * Runs statements on the connections that their transactions keep. They go
- * before new work: what has begun is worth finishing, and holds a connection
- * until then.
+ * Runs statements on the connections reserved for their transactions. They
+ * don't queue behind new work, as an open transaction holds its connection
+ * until it ends.
  */
 export class TransactionStatements {
   readonly #ctx: HomeContext;
@@ -54,10 +54,10 @@
       return failedStatement(verdict, 'failed');
     }
     const {member, slot} = open;
-    const end = member.begin(slot.connection);
+    const end = member.trackWork(slot.connection);
     try {
       const reply = await this.#runOn(req, member, slot.connection, deadlineAt);
-      return this.#conclude(req, open, reply, pin);
+      return this.#finish(req, open, reply, pin);
     } catch (err) {
       slot.connection.close();
       slot.release();
@@ -66,7 +66,7 @@
       if (req.commits && verdict.kind === 'mayHaveRun') {
         return failedStatement(verdict);
       }
-      return failedStatement(rolledBack(verdict), 'failed');
+      return failedStatement(rolledBackVerdict(verdict), 'failed');
     } finally {
       end();
       leave();
@@ -76,11 +76,11 @@
   async #runOn(
     req: StatementRequest,
     member: GroupMember,
-    connection: BoundConnection,
+    connection: TeamConnection,
     deadlineAt: number,
   ): Promise<DatabaseReply> {
     const {clock} = this.#ctx;
-    const leftMs = () => Math.max(1, deadlineAt - clock.now());
+    const remainingMs = () => Math.max(1, deadlineAt - clock.now());
     for (let tries = 1; ; tries++) {
       const reply = await runStatement(
         clock,
@@ -90,13 +90,13 @@
         deadlineAt,
       );
       const isBusy = reply.kind === 'error' && reply.code === 'busy';
-      const mayRepeat = reply.transaction === 'open' && tries < BUSY_TRIES;
-      if (!isBusy || !mayRepeat || leftMs() <= BUSY_PAUSE_MS) return reply;
+      const mayRepeat = reply.transaction === 'open' && tries < MAX_BUSY_TRIES;
+      if (!isBusy || !mayRepeat || remainingMs() <= BUSY_PAUSE_MS) return reply;
       await clock.sleep(BUSY_PAUSE_MS);
     }
   }
 
-  #conclude(
+  #finish(
     req: StatementRequest,
     open: OpenTransaction,
     reply: DatabaseReply,
@@ -114,7 +114,7 @@
       slot.release();
       return answered(reply, {position: reply.position});
     }
-    transactions.keep(open, pin);
+    transactions.add(open, pin);
     return answered(reply, {transaction: 'open', pin});
   }
 }
--- a/src/home/types.ts
+++ b/src/home/types.ts
@@ -1,86 +1,86 @@
-/** What entries ask of a group's home, and what it answers. */
+/** Requests from entry nodes to a group's home, and their results. */
 import type {Position} from '../session/position.js';
 import type {TransactionStatus} from '../targets/types.js';
 import {notRun, type NotRun, type Verdict} from '../verdict/verdict.js';
 
-/** Scheduling class at the home's queues. */
+/** Scheduling class in the home's queues. */
 export type Priority = 'urgent' | 'ordinary';
 
-/** What every request to a group's home says, whatever its protocol. */
+/** Fields of every request to a group's home, of any client protocol. */
 export interface HomeRequest {
-  /** The caller's session; unique over the fleet. */
+  /** The caller's session; unique across the fleet. */
   readonly sessionId: string;
   readonly group: string;
   readonly team: string;
   readonly kind: 'read' | 'write';
   readonly priority: Priority;
-  /** Milliseconds left to the caller's deadline when this was sent. */
+  /** Time left to the caller's deadline when this was sent, in milliseconds. */
   readonly deadlineMs: number;
-  /** Whether it commits: on its own, or as the end of a transaction. */
+  /** True if it commits, on its own or as the end of a transaction. */
   readonly commits: boolean;
-  /** The transaction that it belongs to. */
+  /** Id of the open transaction that it belongs to. */
   readonly pin: string | undefined;
-  /** Whether only databases in the home's own data centre may serve it. */
+  /** True if only databases in the home's own data centre may serve it. */
   readonly nearOnly?: boolean | undefined;
 }
 
-/** What every answer of a group's home says. */
+/** Fields of every result of a group's home. */
 export interface HomeResult {
   readonly verdict: Verdict;
   readonly transaction: TransactionStatus;
-  /** Names the open transaction; present while `transaction` is not idle. */
+  /** Id of the open transaction; set unless `transaction` is idle. */
   readonly pin: string | undefined;
-  /** Where the session now stands in the group's log. */
+  /** Position in the group's log that the session has reached. */
   readonly position: Position | undefined;
 }
 
 /** A batch of statements to run on a group's databases. */
 export interface ExecRequest extends HomeRequest {
-  /** What the session has written or seen in this group, if known. */
+  /** Log position of what the session wrote or read in this group, if known. */
   readonly token: Position | undefined;
-  /** How old the data of a read may be; 0 reads at the primary. */
+  /** Maximum staleness of a read in milliseconds; 0 reads at the primary. */
   readonly staleMs: number;
-  /** Frontend frames, ending in Sync or being one Query. */
+  /** PostgreSQL frontend frames: a single Query, or ending in Sync. */
   readonly frames: Uint8Array;
 }
 
-/** How a batch ended. Answer frames were sent as parts before. */
+/** The outcome of a batch, after its answer frames were sent as parts. */
 export interface ExecResult extends HomeResult {
-  /** Whether the database answered the batch with an error. */
+  /** True if the database answered the batch with an error. */
   readonly failed: boolean;
-  /** The database that ran it, and its role, for the metrics. */
+  /** Role of the database that ran it, for the metrics. */
   readonly servedBy: 'primary' | 'replica' | undefined;
 }
 
-/** Receives whole answer frames in order. */
+/** Receives complete answer frames in order. */
 export type PartSink = (frames: Uint8Array) => void | Promise<void>;
 
-/** A batch at its home and where its answer goes. */
+/** A batch at its home, and the receiver of its answer. */
 export interface ExecAttempt {
   readonly req: ExecRequest;
   readonly sink: PartSink;
-  /** When the caller gives up, on the node's monotonic clock. */
+  /** The caller's deadline, on the node's monotonic clock. */
   readonly deadlineAt: number;
-  /** Aborts when the caller is gone. */
+  /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** Aborts when the caller cancels the batch; for what has not begun yet. */
+  /** Aborts when the caller cancels the batch before it runs. */
   readonly cancelled: AbortSignal;
 }
 
 /** Runs batches on a database group. */
 export interface GroupExecutor {
   /**
-   * Runs one batch. Never rejects: every failure is a verdict.
-   * `signal` aborts when the caller is gone.
+   * Runs one batch. Never rejects: the verdict holds any failure.
+   * `signal` aborts when the caller disconnects.
    */
   execute(
     req: ExecRequest,
     sink: PartSink,
     signal: AbortSignal,
   ): Promise<ExecResult>;
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   release(group: string, pin: string): void;
-  /** Stops what the session runs, or takes it out of the queue. */
+  /** Cancels a session's running batch, or removes it from the queue. */
   cancel(group: string, sessionId: string): void;
 }
 
@@ -90,7 +90,7 @@
   'the statement was cancelled before it ran',
 );
 
-/** A result for a batch that ended without running. */
+/** Creates the result of a batch that failed with a verdict. */
 export function failedResult(
   verdict: Verdict,
   transaction: TransactionStatus = 'idle',
--- a/src/home/write-gate.ts
+++ b/src/home/write-gate.ts
@@ -1,31 +1,31 @@
-/** Holds a group's writes back for a moment, as during a planned switch. */
+/** Holds back a group's writes for a short time, as during a planned switch. */
 import type {WriteHold} from '../groups/planned-switch.js';
 import type {Clock} from '../infra/clock.js';
 
-/** How long a hold waits for the writes under way. */
-const MAX_QUIET_WAIT_MS = 2_000;
-/** How long of it open transactions may go on. */
+/** Maximum time that a hold waits for writes in flight. */
+const MAX_HOLD_WAIT_MS = 2_000;
+/** Part of that time in which open transactions may continue. */
 const MAX_TRANSACTION_WAIT_MS = 500;
-const QUIET_POLL_MS = 5;
+const HOLD_POLL_MS = 5;
 
-/** Settings of a gate. */
+/** Options of a write gate. */
 export interface WriteGateOptions {
   readonly clock: Clock;
-  /** Transactions that wait for their next statement. */
+  /** Returns the number of transactions that wait for their next statement. */
   readonly openTransactions: () => number;
 }
 
 /**
- * Every write passes the gate before it reaches a database.
+ * Every write enters the gate before it is sent to a database.
  *
- * A hold lets open transactions end first: one that committed after the target
- * of a switch had caught up would make the switch break off.
+ * A hold lets open transactions end first: a commit after the target of a
+ * switch has caught up would make the switch abort.
  */
 export class WriteGate implements WriteHold {
   readonly #clock: Clock;
   readonly #openTransactions: () => number;
-  #inside = 0;
-  #opened: Promise<void> | undefined;
+  #inFlight = 0;
+  #reopened: Promise<void> | undefined;
   #open: () => void = () => {};
   #holdsTransactions = false;
 
@@ -35,61 +35,64 @@
   }
 
   /**
-   * Waits until the gate is open, or the deadline. Returns a function to be
-   * called when the write has ended.
+   * Waits until the gate is open, or until the deadline. Returns a function to
+   * call when the write has ended.
    */
   async enter(deadlineAt: number): Promise<() => void> {
-    while (this.#opened !== undefined && this.#clock.now() < deadlineAt) {
-      await this.#waitForOpening(this.#opened, deadlineAt);
+    while (this.#reopened !== undefined && this.#clock.now() < deadlineAt) {
+      await this.#waitForReopening(this.#reopened, deadlineAt);
     }
     return this.#enterNow();
   }
 
-  /** Enters with a statement of an open transaction, which goes first. */
+  /** Enters with a statement of an open transaction, which a hold lets end. */
   async enterPinned(deadlineAt: number): Promise<() => void> {
     return this.#holdsTransactions ? this.enter(deadlineAt) : this.#enterNow();
   }
 
   async holdWrites(): Promise<void> {
-    this.#opened ??= new Promise(resolve => (this.#open = resolve));
+    this.#reopened ??= new Promise(resolve => (this.#open = resolve));
     const startedAt = this.#clock.now();
     await this.#waitUntil(startedAt + MAX_TRANSACTION_WAIT_MS, () => {
-      return this.#inside === 0 && this.#openTransactions() === 0;
+      return this.#inFlight === 0 && this.#openTransactions() === 0;
     });
     this.#holdsTransactions = true;
-    const isQuiet = () => this.#inside === 0;
-    await this.#waitUntil(startedAt + MAX_QUIET_WAIT_MS, isQuiet);
+    const isDrained = () => this.#inFlight === 0;
+    await this.#waitUntil(startedAt + MAX_HOLD_WAIT_MS, isDrained);
   }
 
   releaseWrites(): void {
-    this.#opened = undefined;
+    this.#reopened = undefined;
     this.#holdsTransactions = false;
     this.#open();
   }
 
   #enterNow(): () => void {
-    this.#inside++;
+    this.#inFlight++;
     let left = false;
     return () => {
       if (left) return;
       left = true;
-      this.#inside--;
+      this.#inFlight--;
     };
   }
 
-  async #waitForOpening(
-    opened: Promise<void>,
+  async #waitForReopening(
+    reopened: Promise<void>,
     deadlineAt: number,
   ): Promise<void> {
-    const waited = new AbortController();
-    const leftMs = deadlineAt - this.#clock.now();
-    await Promise.race([opened, this.#clock.sleep(leftMs, waited.signal)]);
-    waited.abort();
+    const timer = new AbortController();
+    const remainingMs = deadlineAt - this.#clock.now();
+    await Promise.race([
+      reopened,
+      this.#clock.sleep(remainingMs, timer.signal),
+    ]);
+    timer.abort();
   }
 
   async #waitUntil(deadlineAt: number, done: () => boolean): Promise<void> {
     while (!done() && this.#clock.now() < deadlineAt) {
-      await this.#clock.sleep(QUIET_POLL_MS);
+      await this.#clock.sleep(HOLD_POLL_MS);
     }
   }
 }
