--- a/src/home/write-path.ts
+++ b/src/home/write-path.ts
@@ -1,4 +1,4 @@
-/** Serves writes and transactions: at the primary, acknowledged or not. */
+/** Runs writes and transactions at the primary and awaits acknowledgement. */
 import {ackVerdict, type AckMode} from '../groups/acknowledgement.js';
 import {comparePositions, type Position} from '../session/position.js';
 import {TargetError, type BatchEnd} from '../targets/types.js';
@@ -11,9 +11,9 @@
   type Verdict,
 } from '../verdict/verdict.js';
 import {WriteAnswer} from './answers.js';
-import type {Slot} from './database-lane.js';
+import type {Slot} from './database-pool.js';
 import type {GroupDatabases} from './group-databases.js';
-import type {Transactions} from './transactions.js';
+import type {PgOpenTransactions} from './pg-open-transactions.js';
 import type {WriteGate} from './write-gate.js';
 import {
   CANCELLED,
@@ -22,25 +22,25 @@
   type ExecResult,
 } from './types.js';
 
-/** How long to wait before the primary is looked up again. */
+/** How long to wait for a change before the primary is looked up again. */
 const PRIMARY_POLL_MS = 50;
-/** When to come back while no majority of the databases answers. */
-const HOPELESS_RETRY_MS = 2_000;
-/** When to come back while open transactions hold the connections. */
+/** Retry delay while no majority of the databases answers. */
+const NO_MAJORITY_RETRY_MS = 2_000;
+/** Retry delay while open transactions hold the connections. */
 const TRANSACTION_RETRY_MS = 50;
-/** The least time in which a write can still succeed. */
+/** Minimum time left for another attempt. */
 const MIN_ATTEMPT_MS = 5;
 
-/** What a write path is built from. */
+/** Options of a write path. */
 export interface WritePathOptions {
   readonly databases: GroupDatabases;
-  readonly transactions: Transactions;
+  readonly transactions: PgOpenTransactions;
   readonly gate: WriteGate;
   readonly ackMode: () => AckMode;
 }
 
-/** What is known once a batch has run on the primary. */
-interface RanBatch {
+/** A batch that has run on the primary. */
+interface CompletedBatch {
   readonly slot: Slot;
   readonly databaseId: string;
   readonly answer: WriteAnswer;
@@ -56,14 +56,14 @@
   }
 
   /**
-   * Runs a batch outside a transaction. Until it has reached a database it
-   * waits for a primary within its deadline. Never rejects.
+   * Runs a batch outside a transaction. Waits for a primary within the deadline
+   * and retries until a database has received the batch. Never rejects.
    */
   async run(attempt: ExecAttempt): Promise<ExecResult> {
     const {databases, gate} = this.#options;
     for (;;) {
-      const late = this.#refusalNow(attempt);
-      if (late !== undefined) return failedResult(late);
+      const refusal = this.#earlyRefusal(attempt);
+      if (refusal !== undefined) return failedResult(refusal);
       const leave = await gate.enter(attempt.deadlineAt);
       try {
         const result = await this.#tryPrimary(attempt);
@@ -82,7 +82,7 @@
     const pinned = transactions.take(pin);
     if (pinned === undefined) {
       leave();
-      return failedResult(rolledBack('it is not known'));
+      return failedResult(rolledBackVerdict('it is not known'));
     }
     const answer = new WriteAnswer(attempt.sink);
     const {slot, databaseId} = pinned;
@@ -90,24 +90,21 @@
       const end = await this.#runOn(databaseId, slot, answer, attempt);
       if (answer.refused) {
         slot.release();
-        return failedResult(rolledBack(`${databaseId} lost its term`));
+        return failedResult(rolledBackVerdict(`${databaseId} lost its term`));
       }
-      return await this.#conclude(
-        attempt,
-        {slot, databaseId, answer, end},
-        pin,
-      );
+      return await this.#finish(attempt, {slot, databaseId, answer, end}, pin);
     } catch (err) {
       slot.release();
-      if (attempt.req.commits) return failedResult(lost(err, databaseId));
-      return failedResult(rolledBack(describe(err)));
+      if (attempt.req.commits)
+        return failedResult(lostVerdict(err, databaseId));
+      return failedResult(rolledBackVerdict(errorMessage(err)));
     } finally {
       leave();
     }
   }
 
-  /** Why waiting any longer is of no use; undefined while it may be. */
-  #refusalNow({
+  /** Returns why another attempt is pointless; undefined if it is not. */
+  #earlyRefusal({
     deadlineAt,
     signal,
     cancelled,
@@ -116,9 +113,9 @@
     const {name} = databases.spec;
     if (signal.aborted) return notRun('noPrimary', 'the caller is gone');
     if (cancelled.aborted) return CANCELLED;
-    if (databases.isHopeless) {
+    if (databases.hasLostMajority) {
       const message = `too few databases of group ${name} answer`;
-      return notRun('noPrimary', message, HOPELESS_RETRY_MS);
+      return notRun('noPrimary', message, NO_MAJORITY_RETRY_MS);
     }
     const leftMs = deadlineAt - databases.clock.now();
     if (leftMs >= MIN_ATTEMPT_MS) return undefined;
@@ -126,15 +123,15 @@
     return notRun('noPrimary', message, PRIMARY_POLL_MS);
   }
 
-  /** One try; undefined if it is known not to have run and may be repeated. */
+  /** Tries once; undefined if the batch did not run and may be retried. */
   async #tryPrimary(attempt: ExecAttempt): Promise<ExecResult | undefined> {
     const {databases} = this.#options;
     const {req, deadlineAt, cancelled} = attempt;
     const databaseId = databases.view().primaryId;
-    const lane = databaseId ? databases.lane(databaseId) : undefined;
-    if (databaseId === undefined || lane === undefined) return undefined;
+    const pool = databaseId ? databases.pool(databaseId) : undefined;
+    if (databaseId === undefined || pool === undefined) return undefined;
     const {team, priority} = req;
-    const acquired = await lane.acquire({
+    const acquired = await pool.acquire({
       team,
       priority,
       deadlineAt,
@@ -159,16 +156,16 @@
         databases.reads.notePosition(databaseId, end.position, sentAt);
       }
       const ran = {slot, databaseId, answer, end};
-      if (isOnlyOpened(answer.startPosition, end) && !lane.mayPin) {
+      if (onlyOpenedTransaction(answer.startPosition, end) && !pool.mayPin) {
         this.#options.transactions.rollBack(slot);
-        return failedResult(tooManyTransactions(databaseId));
+        return failedResult(tooManyTransactionsVerdict(databaseId));
       }
-      return await this.#conclude(attempt, ran, undefined);
+      return await this.#finish(attempt, ran, undefined);
     } catch (err) {
       slot.release();
       if (err instanceof TargetError && err.kind === 'notSent')
         return undefined;
-      return failedResult(lost(err, databaseId));
+      return failedResult(lostVerdict(err, databaseId));
     }
   }
 
@@ -188,14 +185,14 @@
     });
   }
 
-  /** Acknowledges what was committed and keeps what is still open. */
-  async #conclude(
+  /** Awaits acknowledgement of commits; keeps a transaction that is open. */
+  async #finish(
     attempt: ExecAttempt,
-    ran: RanBatch,
+    ran: CompletedBatch,
     oldPin: string | undefined,
   ): Promise<ExecResult> {
     const {slot, databaseId, answer, end} = ran;
-    const pin = this.#settleSlot(attempt, ran, oldPin);
+    const pin = this.#keepOrReleaseSlot(attempt, ran, oldPin);
     const verdict = needsAck(answer.startPosition, end)
       ? await this.#acknowledge(attempt, databaseId, end.position)
       : DONE;
@@ -210,10 +207,10 @@
     };
   }
 
-  /** Keeps the connection of an open transaction, else gives it back. */
-  #settleSlot(
+  /** Keeps the connection of an open transaction, or else releases it. */
+  #keepOrReleaseSlot(
     {req}: ExecAttempt,
-    {slot, databaseId, end}: RanBatch,
+    {slot, databaseId, end}: CompletedBatch,
     oldPin: string | undefined,
   ): string | undefined {
     if (end.transaction === 'idle') {
@@ -222,7 +219,7 @@
     }
     slot.pin();
     const {transactions} = this.#options;
-    return transactions.keep(
+    return transactions.add(
       {slot, databaseId, sessionId: req.sessionId},
       oldPin,
     );
@@ -245,8 +242,8 @@
 }
 
 /**
- * Whether the batch told the caller of something that a later primary could
- * contradict: a commit, or a write that found nothing to do.
+ * True if the batch reports what a later primary could contradict: a commit, or
+ * a write that found nothing to change.
  */
 function needsAck(start: Position | undefined, end: BatchEnd): boolean {
   if (end.position === undefined) return end.transaction === 'idle';
@@ -255,14 +252,17 @@
   return committed || (end.transaction === 'idle' && !end.failed);
 }
 
-/** Whether the batch opened a transaction and committed nothing. */
-function isOnlyOpened(start: Position | undefined, end: BatchEnd): boolean {
+/** True if the batch opened a transaction and committed nothing. */
+function onlyOpenedTransaction(
+  start: Position | undefined,
+  end: BatchEnd,
+): boolean {
   if (end.transaction === 'idle') return false;
   if (start === undefined || end.position === undefined) return false;
   return comparePositions(end.position, start) === 0;
 }
 
-function tooManyTransactions(databaseId: string): NotRun {
+function tooManyTransactionsVerdict(databaseId: string): NotRun {
   return notRun(
     'overloaded',
     `${databaseId} has as many open transactions as its connections allow`,
@@ -270,11 +270,14 @@
   );
 }
 
-function lost(err: unknown, databaseId: string): Verdict {
-  return mayHaveRun('targetLost', `database ${databaseId}: ${describe(err)}`);
+function lostVerdict(err: unknown, databaseId: string): Verdict {
+  return mayHaveRun(
+    'targetLost',
+    `database ${databaseId}: ${errorMessage(err)}`,
+  );
 }
 
-function rolledBack(reason: string): Verdict {
+function rolledBackVerdict(reason: string): Verdict {
   return notRun(
     'targetUnavailable',
     `the transaction was rolled back: ${reason}; begin it again`,
@@ -282,6 +285,6 @@
   );
 }
 
-function describe(err: unknown): string {
+function errorMessage(err: unknown): string {
   return err instanceof Error ? err.message : String(err);
 }
