--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -164,7 +164,7 @@
     void this.#options.duty.release(this.#options.group);
   }
 
-  /** Rolls back a transaction whose caller is gone. */
+  /** Rolls back a transaction whose caller has disconnected. */
   release(pin: string): void {
     this.#transactions.release(pin);
   }
@@ -188,7 +188,10 @@
     this.#leadership.noteAnnounced(entry.id, entry.role, now);
   }
 
-  /** Removes a database whose announcement is gone, or expired. */
+  /**
+   * Removes a database whose announcement is gone, after a grace period if it
+   * may have expired in a store outage.
+   */
   removeDatabase(id: string): void {
     const known = this.#members.get(id);
     if (known === undefined) return;
--- a/src/home/connection-pool.ts
+++ b/src/home/connection-pool.ts
@@ -93,7 +93,9 @@
  *
  * @example
  * const result = await pool.acquire({team, priority, deadlineAt, cancelled});
- * if (result.kind === 'granted') await result.slot.connection.run(frames, observer);
+ * if (result.kind === 'granted') {
+ *   await result.slot.connection.run(frames, observer);
+ * }
  */
 export class ConnectionPool<
   C extends PooledConnection,
--- a/src/home/group-databases.ts
+++ b/src/home/group-databases.ts
@@ -20,8 +20,9 @@
 const NO_MAJORITY_AFTER_MS = 1_500;
 /** How long a database must be silent before its statements are abandoned. */
 const ABANDON_AFTER_MS = 800;
+/** How often silent databases are looked for. */
 const ABANDON_CHECK_MS = 100;
-/** Check period while every database answers; silence is detected in 500 ms. */
+/** The same while every database answers; silence is detected in 500 ms. */
 const HEALTHY_ABANDON_CHECK_MS = 200;
 /** How long a database must be silent before it gets no new statements. */
 const UNREACHABLE_AFTER_MS = 500;
@@ -168,7 +169,7 @@
     return available.length < majorityOf(databases.length);
   }
 
-  /** Resolves when the primary or the term changes, or after `ms`. */
+  /** Resolves on a change of primary or term, on abort, or after `ms`. */
   async waitForChange(ms: number, signal: AbortSignal): Promise<void> {
     const changed = new AbortController();
     const stop = () => changed.abort();
@@ -179,7 +180,10 @@
     unsubscribe();
   }
 
-  /** Abandons statements on unreachable databases that are not the primary. */
+  /**
+   * Abandons statements on unreachable databases that are no longer primary, as
+   * their writes can't be acknowledged any more.
+   */
   #abandonSuperseded({primaryId, databases}: GroupView): void {
     for (const {spec, reachable} of databases) {
       if (spec.id !== primaryId && !reachable) this.runs.abandon(spec.id);
--- a/src/home/home-forwarder.ts
+++ b/src/home/home-forwarder.ts
@@ -164,19 +164,19 @@
     signal: AbortSignal,
   ): Promise<Res> {
     const {peers, method, failed, watch, codec} = this.#options;
-    const watched = watch?.begin(home, signal);
+    const monitored = watch?.begin(home, signal);
     try {
       const body = codec === undefined ? req : codec.encode(req);
       const result = await peers.call(home, method, body, {
         timeoutMs: req.deadlineMs + VERDICT_GRACE_MS,
         // A read can be repeated elsewhere, so it is aborted on a silent home.
-        signal: req.kind === 'read' && watched ? watched.signal : signal,
+        signal: req.kind === 'read' && monitored ? monitored.signal : signal,
         onPart: part => sink(part as Part),
       });
-      watched?.end('answered');
+      monitored?.end('answered');
       return codec === undefined ? (result as Res) : codec.decode(result);
     } catch (err) {
-      watched?.end(signal.aborted ? 'abandoned' : 'failed');
+      monitored?.end(signal.aborted ? 'abandoned' : 'failed');
       return failed(homeVerdict(err, home.id));
     }
   }
--- a/src/home/home-watch.ts
+++ b/src/home/home-watch.ts
@@ -62,21 +62,21 @@
 
   /** Registers a request; `signal` aborts when its caller disconnects. */
   begin(home: PeerAddress, signal: AbortSignal): MonitoredRequest {
-    const watched = this.#monitoredHome(home);
+    const monitored = this.#monitoredHome(home);
     const stop = new AbortController();
     const abort = () => stop.abort();
     signal.addEventListener('abort', abort, {once: true});
-    watched.running.add(stop);
-    const endWork = watched.health.begin();
+    monitored.running.add(stop);
+    const endWork = monitored.health.begin();
     return {
       signal: stop.signal,
       end: outcome => {
         endWork();
-        watched.running.delete(stop);
+        monitored.running.delete(stop);
         signal.removeEventListener('abort', abort);
-        if (outcome === 'answered') watched.health.noteAnswer();
-        if (outcome === 'failed') watched.health.noteFailure();
-        if (watched.health.failures > 0) this.#markSilent(watched);
+        if (outcome === 'answered') monitored.health.noteAnswer();
+        if (outcome === 'failed') monitored.health.noteFailure();
+        if (monitored.health.failures > 0) this.#markSilent(monitored);
       },
     };
   }
@@ -86,8 +86,8 @@
     const {clock} = this.#options;
     while (!signal.aborted) {
       await sleepToTick(clock, CHECK_PERIOD_MS, signal);
-      for (const watched of this.#homes.values()) {
-        if (!watched.health.isReachable) this.#markSilent(watched);
+      for (const monitored of this.#homes.values()) {
+        if (!monitored.health.isReachable) this.#markSilent(monitored);
       }
     }
   }
@@ -98,20 +98,20 @@
       known?.address.host === address.host &&
       known.address.port === address.port;
     if (known !== undefined && isSame) return known;
-    const watched: MonitoredHome = {
+    const monitored: MonitoredHome = {
       address,
       health: new WorkHealth(this.#options.clock),
       running: new Set(),
       isSilent: false,
     };
-    this.#homes.set(address.id, watched);
-    return watched;
+    this.#homes.set(address.id, monitored);
+    return monitored;
   }
 
-  #markSilent(watched: MonitoredHome): void {
-    if (watched.isSilent) return;
-    watched.isSilent = true;
-    const {address, health, running} = watched;
+  #markSilent(monitored: MonitoredHome): void {
+    if (monitored.isSilent) return;
+    monitored.isSilent = true;
+    const {address, health, running} = monitored;
     this.#options.log.warn('homeSilent', {
       home: address.id,
       silentMs: Math.round(health.silentMs),
@@ -119,13 +119,13 @@
       underWay: running.size,
     });
     for (const stop of running) stop.abort();
-    void this.#pingUntilAlive(watched);
+    void this.#pingUntilAlive(monitored);
   }
 
-  async #pingUntilAlive(watched: MonitoredHome): Promise<void> {
+  async #pingUntilAlive(monitored: MonitoredHome): Promise<void> {
     const {clock, peers, log} = this.#options;
-    const {address, health} = watched;
-    while (this.#homes.get(address.id) === watched) {
+    const {address, health} = monitored;
+    while (this.#homes.get(address.id) === monitored) {
       try {
         await peers.call(
           address,
@@ -134,7 +134,7 @@
           {timeoutMs: PING_TIMEOUT_MS},
         );
         health.noteAnswer();
-        watched.isSilent = false;
+        monitored.isSilent = false;
         log.info('homeAnswers', {home: address.id});
         return;
       } catch {
--- a/src/home/read-path.ts
+++ b/src/home/read-path.ts
@@ -8,7 +8,7 @@
 import {failedResult, type ExecAttempt, type ExecResult} from './types.js';
 
 const PRIMARY_RETRY_MS = 200;
-/** Share of the time left at the grant of its slot after which a read is slow. */
+/** A read is slow after this share of the time left when it got its slot. */
 const SLOW_AFTER_SHARE = 0.4;
 
 /** Options of a read path. */
@@ -111,7 +111,7 @@
       slot.release();
       return failed(alreadyAnsweredVerdict(), databaseId);
     }
-    const current =
+    const termCheck =
       role === 'primary'
         ? this.#confirmTerm(databaseId, deadlineAt)
         : undefined;
@@ -133,7 +133,7 @@
       if (answer.stale) {
         return failed(staleVerdict(databaseId), databaseId);
       }
-      const verdict = (await current) ?? DONE;
+      const verdict = (await termCheck) ?? DONE;
       if (verdict.kind === 'done') await answer.flush();
       return {
         databaseId,
--- a/src/home/types.ts
+++ b/src/home/types.ts
@@ -63,7 +63,7 @@
   readonly deadlineAt: number;
   /** Aborts when the caller disconnects. */
   readonly signal: AbortSignal;
-  /** Aborts when the caller cancels the batch before it runs. */
+  /** Aborts when the caller cancels the batch; ends only work not yet sent. */
   readonly cancelled: AbortSignal;
 }
 
--- a/src/home/write-path.ts
+++ b/src/home/write-path.ts
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Returns why another attempt is pointless; undefined if it is not. */
+  /** Returns the refusal if another attempt is pointless. */
   #earlyRefusal({
     deadlineAt,
     signal,
--- a/test/home/batch-runs.test.ts
+++ b/test/home/batch-runs.test.ts
@@ -16,7 +16,7 @@
   return {promise, resolve, reject};
 }
 
-/** A connection whose batch and cancel request end when a test says so. */
+/** A connection whose batch and cancel request end when the test ends them. */
 function createConnection() {
   const batch = withResolvers<BatchEnd>();
   const cancelled = withResolvers<void>();
@@ -56,8 +56,8 @@
   return {runs, run, hasEnded: () => ended};
 }
 
-describe('statement runs', () => {
-  it('holds a connection until a cancel request has passed', async () => {
+describe('batch runs', () => {
+  it('keep a connection until its cancel request has ended', async () => {
     const {batch, cancelled, connection} = createConnection();
     const {runs, run, hasEnded} = start(connection);
     runs.cancel('s1');
@@ -68,7 +68,7 @@
     expect(await run).toEqual(END);
   });
 
-  it('cancels the named session only', async () => {
+  it('cancel only the given session', async () => {
     const {batch, connection, calls} = createConnection();
     const {runs, run} = start(connection);
     runs.cancel('s2');
@@ -77,14 +77,14 @@
     expect(calls).toEqual([]);
   });
 
-  it('cancels at the deadline, then closes the connection', async () => {
+  it('cancel at the deadline, then close the connection', async () => {
     const {connection, calls} = createConnection();
     const {run} = start(connection, 1);
     await expectFailure(run, 'lost');
     expect(calls).toEqual(['cancel', 'close']);
   });
 
-  it('reports no answer that comes after the deadline', async () => {
+  it('report no answer that arrives after the deadline', async () => {
     const {batch, cancelled, connection, calls} = createConnection();
     const {run} = start(connection, 1);
     const outcome = expectFailure(run, 'lost');
@@ -96,7 +96,7 @@
     await outcome;
   });
 
-  it('gives up what runs on a silent database', async () => {
+  it('abandon the batches on a silent database', async () => {
     const {connection} = createConnection();
     const {runs, run} = start(connection);
     runs.abandon('db2');
--- a/test/home/database-pool.test.ts
+++ b/test/home/database-pool.test.ts
@@ -17,7 +17,7 @@
   cancelled: new AbortController().signal,
 };
 const SLOTS = 2;
-/** One statement more than slots is sent, so that no slot stands idle. */
+/** One more statement than slots is in flight, so that no slot is idle. */
 const CONCURRENCY = SLOTS + 1;
 
 function createConnection(): TargetConnection {
@@ -30,9 +30,9 @@
   };
 }
 
-function createLane(clock: VirtualClock) {
+function createPool(clock: VirtualClock) {
   let connects = 0;
-  const lane = new DatabasePool({
+  const pool = new DatabasePool({
     clock,
     spec: createDatabaseSpec('db1', {slots: SLOTS}),
     connect: async () => {
@@ -43,31 +43,31 @@
     weightOf: () => 1,
     isReachable: () => true,
   });
-  return {lane, connects: () => connects};
+  return {pool, connects: () => connects};
 }
 
-async function settle(): Promise<void> {
+async function flushCallbacks(): Promise<void> {
   for (let n = 0; n < 10; n++) {
     await new Promise(resolve => setImmediate(resolve));
   }
 }
 
-describe('database lane', () => {
-  it('refuses at once what cannot be served in time', async () => {
+describe('database pool', () => {
+  it('refuses requests at once that cannot be served in time', async () => {
     const clock = new VirtualClock();
-    const {lane} = createLane(clock);
+    const {pool} = createPool(clock);
     const results: SlotResult[] = [];
     for (let n = 0; n < REQUESTS; n++) {
-      void lane.acquire(REQUEST).then(result => void results.push(result));
+      void pool.acquire(REQUEST).then(result => void results.push(result));
     }
-    await settle();
+    await flushCallbacks();
     const granted = results.filter(({kind}) => kind === 'granted');
-    const refused = results.flatMap(one =>
-      one.kind === 'refused' ? [one.verdict] : [],
+    const refused = results.flatMap(result =>
+      result.kind === 'refused' ? [result.verdict] : [],
     );
     expect(granted).toHaveLength(CONCURRENCY);
     expect(refused.length).toBeGreaterThan(0);
-    expect(lane.outstanding).toBe(REQUESTS - refused.length);
+    expect(pool.outstanding).toBe(REQUESTS - refused.length);
     for (const {reason, retryAfterMs} of refused) {
       expect(reason).toBe('overloaded');
       expect(retryAfterMs).toBeGreaterThan(0);
@@ -75,33 +75,33 @@
   });
 
   it('refuses a cancelled request while it waits or connects', async () => {
-    const {lane} = createLane(new VirtualClock());
+    const {pool} = createPool(new VirtualClock());
     const cancel = new AbortController();
     const req = {...REQUEST, cancelled: cancel.signal};
-    const asked = Array.from({length: CONCURRENCY + 2}, () =>
-      lane.acquire(req),
+    const pending = Array.from({length: CONCURRENCY + 2}, () =>
+      pool.acquire(req),
     );
-    const other = lane.acquire(REQUEST);
+    const other = pool.acquire(REQUEST);
     cancel.abort();
-    for (const result of await Promise.all([...asked, lane.acquire(req)])) {
+    for (const result of await Promise.all([...pending, pool.acquire(req)])) {
       expect(result).toMatchObject({verdict: {reason: 'cancelled'}});
     }
     expect((await other).kind).toBe('granted');
-    expect(lane.outstanding).toBe(1);
+    expect(pool.outstanding).toBe(1);
   });
 
-  it('gives a released slot and its connection to the next', async () => {
-    const {lane, connects} = createLane(new VirtualClock());
-    const first = await Promise.all(
-      Array.from({length: CONCURRENCY}, () => lane.acquire(REQUEST)),
+  it('gives a released slot and its connection to the next request', async () => {
+    const {pool, connects} = createPool(new VirtualClock());
+    const granted = await Promise.all(
+      Array.from({length: CONCURRENCY}, () => pool.acquire(REQUEST)),
     );
-    const waiting = lane.acquire(REQUEST);
-    const [one] = first;
-    if (one?.kind !== 'granted') throw new Error('the slot was refused');
-    one.slot.release();
-    one.slot.release();
+    const waiting = pool.acquire(REQUEST);
+    const [result] = granted;
+    if (result?.kind !== 'granted') throw new Error('the slot was refused');
+    result.slot.release();
+    result.slot.release();
     expect((await waiting).kind).toBe('granted');
     expect(connects()).toBe(CONCURRENCY);
-    expect(lane.outstanding).toBe(CONCURRENCY);
+    expect(pool.outstanding).toBe(CONCURRENCY);
   });
 });
--- a/test/home/group-databases.test.ts
+++ b/test/home/group-databases.test.ts
@@ -5,13 +5,13 @@
 import {VirtualClock} from '../fakes/virtual-clock.js';
 import {createRandom} from '../admission/random.js';
 
-const CALM_SECONDS = 10;
-/** One wake-up for each round of questions. */
-const MAX_WAKES_PER_SECOND = 5;
+const HEALTHY_SECONDS = 10;
+/** One wake-up per round of status queries. */
+const MAX_WAKEUPS_PER_SECOND = 5;
 
-/** Notes the times at which sleeps end. */
-class WakeCounter implements Clock {
-  readonly wakes = new Set<number>();
+/** Records the times at which sleeps end. */
+class WakeupCounter implements Clock {
+  readonly wakeups = new Set<number>();
   readonly #clock: Clock;
 
   constructor(clock: Clock) {
@@ -28,13 +28,13 @@
 
   async sleep(ms: number, signal?: AbortSignal): Promise<void> {
     await this.#clock.sleep(ms, signal);
-    this.wakes.add(this.now());
+    this.wakeups.add(this.now());
   }
 }
 
-test('wakes a node once for all tasks of its calm groups', async () => {
+test('wakes a node up once for the periodic tasks of all its healthy groups', async () => {
   const time = new VirtualClock();
-  const clock = new WakeCounter(time.forNode({offsetMs: 5_037}));
+  const clock = new WakeupCounter(time.forNode({offsetMs: 5_037}));
   const groups = Array.from({length: 2}, (_, seed) => {
     const group = new FakeGroup(time);
     const controls = group.controlsFor('vm-1', time.forNode());
@@ -45,7 +45,7 @@
       dataCentre: 'dc-1',
       access: {
         control: spec => {
-          const control = controls.find(one => one.spec.id === spec.id)!;
+          const control = controls.find(item => item.spec.id === spec.id)!;
           return Object.assign(control, {close: () => {}});
         },
         connect: () => Promise.reject(new Error('not used')),
@@ -62,10 +62,10 @@
     await time.advance(33);
   }
   await time.advance(1_000);
-  clock.wakes.clear();
-  await time.advance(CALM_SECONDS * 1_000);
-  const limit = CALM_SECONDS * MAX_WAKES_PER_SECOND;
-  expect(clock.wakes.size).toBeLessThanOrEqual(limit);
+  clock.wakeups.clear();
+  await time.advance(HEALTHY_SECONDS * 1_000);
+  const limit = HEALTHY_SECONDS * MAX_WAKEUPS_PER_SECOND;
+  expect(clock.wakeups.size).toBeLessThanOrEqual(limit);
   expect(groups.every(group => group.view().primaryId === 'db-1')).toBe(true);
   for (const group of groups) group.stop();
 });
--- a/test/home/home-router.test.ts
+++ b/test/home/home-router.test.ts
@@ -22,7 +22,7 @@
 };
 const REFUSED = failedResult(notRun('noPrimary', 'no primary', 200));
 
-/** Routes a read over homes that answer, or lose it, one after the other. */
+/** Routes a read to homes that answer or fail as listed, one after another. */
 async function route(answers: readonly (ExecResult | 'lost')[]) {
   const homes = answers.map((_, i) => ({id: `vm${i}`}) as Member);
   const router = new HomeRouter({
@@ -51,6 +51,6 @@
   expect(verdict.kind).toBe('mayHaveRun');
 });
 
-test('a refusal of the first home stands as it is', async () => {
+test('the refusal of the first home is returned unchanged', async () => {
   expect(await route([REFUSED, REFUSED])).toEqual(REFUSED);
 });
--- a/test/home/home-service.test.ts
+++ b/test/home/home-service.test.ts
@@ -10,7 +10,7 @@
 const SEED = 48;
 const NODE = 'vm-1';
 const SETTLE_MS = 2_000;
-/** Many times what a failover takes. */
+/** Many times the duration of a failover. */
 const FAILOVER_MS = 10_000;
 const WRITE: ExecRequest = {
   sessionId: 's1',
@@ -37,7 +37,7 @@
 let spec: GroupSpec;
 let homes: HomeService;
 let cancelled: number;
-/** How the next batches end; a batch stays open while it is undefined. */
+/** The end of the next batches; undefined if they don't end. */
 let end: BatchEnd | undefined;
 
 function connect(): TargetConnection {
@@ -46,8 +46,8 @@
     transaction: 'idle',
     run: (frames, observer) => {
       observer.onStart?.(group.database('db-1').received);
-      const isSignOfLife = frames.length > 0;
-      const answer = isSignOfLife ? IDLE : end;
+      const isLivenessCheck = frames.length > 0;
+      const answer = isLivenessCheck ? IDLE : end;
       return answer ? Promise.resolve(answer) : new Promise(() => {});
     },
     cancel: async () => void cancelled++,
@@ -55,7 +55,7 @@
   };
 }
 
-/** Takes db-3 out of the group's description. */
+/** Removes db-3 from the group's description. */
 async function removeThird(): Promise<void> {
   spec = {...spec, databases: spec.databases.slice(0, 2)};
   await time.advance(SETTLE_MS);
@@ -120,7 +120,7 @@
     expect(group.database('db-3').promotions).toEqual([]);
   });
 
-  it('passes cancel requests on to statements of the old home', async () => {
+  it('forwards cancel requests to the batches of the superseded home', async () => {
     end = undefined;
     void execute();
     await time.advance(1);
--- a/test/home/slow-reads.test.ts
+++ b/test/home/slow-reads.test.ts
@@ -9,23 +9,23 @@
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
 const DEADLINE_MS = 1_000;
-/** Past the 60% that a second try alone would have. */
+/** More than the 60% of the deadline that the second try has left. */
 const SLOW_MS = 700;
 const FAST_MS = 10;
 const START = {term: 1, offset: 0};
-/** All else that is sent is a question for a sign of life. */
+/** The read; any other frames are a liveness check. */
 const QUERY = new Uint8Array([0x51, 0, 0, 0, 4]);
 const ROW = Buffer.concat([Buffer.from('D'), Buffer.from([0, 0, 0, 4])]);
-/** More than is kept back until the answer is known to count. */
+/** More than is buffered until the answer is confirmed. */
 const LARGE = Buffer.concat(Array.from({length: 4_000}, () => ROW));
 const END = Buffer.concat([Buffer.from('C'), Buffer.from([0, 0, 0, 4])]);
 
-/** How one run goes: when its first and its last part come. */
+/** Timing of one run: when its first and its last part arrive. */
 interface Script {
   readonly rows?: Buffer;
   readonly rowsAtMs?: number;
   readonly endAtMs: number;
-  /** Whether the database shows less than the session must see. */
+  /** True if the database is too far behind for the session. */
   readonly isStale?: boolean;
 }
 
@@ -33,7 +33,7 @@
 const SLOW: Script = {endAtMs: SLOW_MS};
 const FAST: Script = {endAtMs: FAST_MS};
 
-/** A connection whose run goes as scripted, until it is closed. */
+/** A connection that runs as scripted until it is closed. */
 class ScriptedConnection implements TargetConnection {
   readonly transaction = 'idle';
   readonly calls: string[] = [];
@@ -79,9 +79,9 @@
 }
 
 let time: VirtualClock;
-/** Whether the databases take no connection any more, nor keep one. */
+/** True if all connections are broken and no new one can be opened. */
 let isDown: boolean;
-/** The connection of each run, in their order. */
+/** The connections of the runs so far, in order. */
 let ran: ScriptedConnection[];
 let loop: ReadLoop;
 /** The script of the next run, given the number of runs before it. */
@@ -101,7 +101,7 @@
     instanceId: 'vm-1/a',
     access: {
       control: spec => {
-        const control = controls.find(one => one.spec.id === spec.id);
+        const control = controls.find(item => item.spec.id === spec.id);
         return Object.assign(control!, {close: () => {}});
       },
       connect: async ({id}) => {
@@ -124,7 +124,7 @@
   await time.advance(1_000);
 });
 
-/** Serves one read; the clock moves on until it has ended. */
+/** Runs one read and advances the clock until it has ended. */
 async function read(staleMs: number) {
   const startedAt = time.now();
   const parts: Uint8Array[] = [];
@@ -163,7 +163,7 @@
   test.each([
     ['a replica', 5_000],
     ['the primary', 0],
-  ])('are served by %s within the whole deadline', async (_, staleMs) => {
+  ])('may use the whole deadline at %s', async (_, staleMs) => {
     script = () => SLOW;
     const {verdict, answer, tookMs} = await read(staleMs);
     expect(verdict).toEqual({kind: 'done'});
@@ -171,7 +171,7 @@
     expect(tookMs).toBe(SLOW_MS);
   });
 
-  test('leave a silent connection for another database', async () => {
+  test('are retried at another database if a connection is silent', async () => {
     script = run => (run === 0 ? SILENT : FAST);
     const {verdict, answer, tookMs} = await read(5_000);
     expect(verdict).toEqual({kind: 'done'});
@@ -185,7 +185,7 @@
     expect(ran[0]?.databaseId).not.toBe(ran[1]?.databaseId);
   });
 
-  test('leave a silent connection of the primary for another', async () => {
+  test('are retried on another connection if one to the primary is silent', async () => {
     script = run => (run === 0 ? SILENT : FAST);
     const {verdict, servedBy, tookMs} = await read(0);
     expect({verdict, servedBy}).toEqual({
@@ -195,7 +195,7 @@
     expect(tookMs).toBeLessThan(DEADLINE_MS * 0.6);
   });
 
-  test('give one answer when both tries end', async () => {
+  test('give one answer if both tries end', async () => {
     script = run => ({endAtMs: run === 0 ? 500 : 100});
     const {answer} = await read(5_000);
     await time.advance(DEADLINE_MS);
@@ -203,7 +203,7 @@
     expect(ran.length).toBe(2);
   });
 
-  test('run once where the answer has begun to arrive', async () => {
+  test('run once if the answer has begun to arrive', async () => {
     script = () => ({rows: LARGE, rowsAtMs: 100, endAtMs: 900});
     const {verdict, answer} = await read(5_000);
     expect(verdict).toEqual({kind: 'done'});
@@ -211,7 +211,7 @@
     expect(ran.length).toBe(1);
   });
 
-  test('say that a read may have run when every try is silent', async () => {
+  test('report that a read may have run if every try is silent', async () => {
     script = () => SILENT;
     const {verdict, tookMs} = await read(5_000);
     expect(verdict.kind).toBe('mayHaveRun');
@@ -219,7 +219,7 @@
   });
 
   test.each([0, 5_000])(
-    'say that a read may have run though no later try reached a database (staleMs %d)',
+    'report that a read may have run even if no later try reached a database (staleMs %d)',
     async staleMs => {
       script = () => SILENT;
       const reading = read(staleMs);
@@ -240,13 +240,13 @@
     }
   });
 
-  test('are still served once the budget of retries is spent', async () => {
+  test('are still served once the retry budget is spent', async () => {
     script = () => SLOW;
     for (let n = 0; n < 20; n++) {
       const {verdict} = await read(5_000);
       expect(verdict).toEqual({kind: 'done'});
     }
-    // Ten in reserve, and one for ten reads.
+    // The retry budget: a reserve of ten, and one retry per ten reads.
     expect(ran.length).toBeLessThanOrEqual(20 + 10 + 2);
   });
 });
--- a/test/home/write-gate.test.ts
+++ b/test/home/write-gate.test.ts
@@ -3,7 +3,7 @@
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
 const DEADLINE_MS = 5_000;
-/** A moment within the time that open transactions have. */
+/** Within the time that open transactions have to end. */
 const SOON_MS = 100;
 const LATE_MS = 1_000;
 
@@ -11,7 +11,7 @@
 let transactions: number;
 let gate: WriteGate;
 
-/** Whether the promise settles without time passing. */
+/** Returns whether the promise settles without time passing. */
 async function isSettled(promise: Promise<unknown>): Promise<boolean> {
   let settled = false;
   void promise.then(() => (settled = true));
@@ -25,8 +25,8 @@
   gate = new WriteGate({clock: time, openTransactions: () => transactions});
 });
 
-describe('write gate, held', () => {
-  it('lets open transactions end, and keeps new writes out meanwhile', async () => {
+describe('write gate during a hold', () => {
+  it('lets open transactions end and keeps new writes waiting', async () => {
     transactions = 1;
     const held = gate.holdWrites();
     const write = gate.enter(DEADLINE_MS);
@@ -42,7 +42,7 @@
     expect(await isSettled(write)).toBe(true);
   });
 
-  it('holds the statements of a transaction that does not end in time', async () => {
+  it('holds back the statements of a transaction that does not end in time', async () => {
     transactions = 1;
     const held = gate.holdWrites();
     await time.advance(LATE_MS);
--- a/test/statements/certificates.test.ts
+++ b/test/statements/certificates.test.ts
@@ -4,7 +4,7 @@
 import {comparePositions} from '../../src/session/position.js';
 
 describe('position certificates', () => {
-  it('cover every commit acknowledged before the moment asked for', () => {
+  it('cover every commit acknowledged before the requested time', () => {
     fc.assert(
       fc.property(
         fc.array(fc.tuple(fc.nat(60), fc.nat(3)), {maxLength: 80}),
@@ -25,14 +25,14 @@
           const moment = now - ageMs;
           const covering = certificates.covering(moment);
           if (covering === undefined) return;
-          const owed = commits.findLast(({at}) => at < moment)?.offset ?? 0;
-          expect(covering.offset).toBeGreaterThanOrEqual(owed);
+          const required = commits.findLast(({at}) => at < moment)?.offset ?? 0;
+          expect(covering.offset).toBeGreaterThanOrEqual(required);
         },
       ),
     );
   });
 
-  it('ask for no newer position than the limit of age needs', () => {
+  it('require no newer position than the maximum staleness needs', () => {
     const certificates = new PositionCertificates();
     for (let n = 0; n <= 100; n++) {
       certificates.note({term: 1, offset: n}, n * 50);
@@ -41,14 +41,14 @@
     expect(covering?.offset).toBeLessThanOrEqual(72);
   });
 
-  it('prove nothing where the last one is too old', () => {
+  it('prove nothing if the newest one is too old', () => {
     const certificates = new PositionCertificates();
     expect(certificates.covering(0)).toBeUndefined();
     certificates.note({term: 1, offset: 5}, 100);
     expect(certificates.covering(101)).toBeUndefined();
   });
 
-  it('take no answer that is out of order', () => {
+  it('ignore positions that are out of order', () => {
     const certificates = new PositionCertificates();
     certificates.note({term: 1, offset: 9}, 100);
     certificates.note({term: 1, offset: 4}, 200);
--- a/test/statements/certified-reads.test.ts
+++ b/test/statements/certified-reads.test.ts
@@ -12,7 +12,7 @@
 import {createLogger} from '../../src/telemetry/log.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
-/** One database whose connection opens only when the test says so. */
+/** One database whose connection opens when the test calls `open`. */
 function createHome() {
   const clock = new VirtualClock();
   const log = createLogger('silent');
@@ -118,7 +118,7 @@
     expect(sent).toEqual([]);
   });
 
-  it('run inside a transaction of their own at the primary', async () => {
+  it('run in a transaction of their own at the primary', async () => {
     const {reads, attempt, open, sent} = createHome();
     const result = reads.run(attempt);
     open();
--- a/test/statements/fleet.test.ts
+++ b/test/statements/fleet.test.ts
@@ -26,7 +26,7 @@
   ...rest,
 });
 
-describe('the list of members', () => {
+describe('member list', () => {
   function createList(mayHaveLapsed: boolean) {
     const clock = new VirtualClock();
     const list = new MemberList({clock, mayHaveLapsed: () => mayHaveLapsed});
@@ -34,13 +34,13 @@
     return {clock, list};
   }
 
-  it('drops a node whose lease has ended', () => {
+  it('removes a node whose lease has expired', () => {
     const {list} = createList(false);
     list.apply('a', undefined);
     expect(list.live().map(({id}) => id)).toEqual(['b', 'c']);
   });
 
-  it('keeps a node for a while whose lease lapsed in a store outage', async () => {
+  it('keeps a node for a grace period if its lease expired in a store outage', async () => {
     const {clock, list} = createList(true);
     list.apply('a', undefined);
     expect(list.live()).toHaveLength(3);
@@ -48,7 +48,7 @@
     expect(list.live()).toHaveLength(2);
   });
 
-  it('ranks homes alike, near and large ones first', () => {
+  it('ranks homes by data centre and cores, and excludes leaving nodes', () => {
     const {list} = createList(false);
     list.apply('far', member('far', {dataCentre: 'burnie'}));
     list.apply('small', member('small', {cores: 0.3}));
@@ -61,7 +61,7 @@
     );
   });
 
-  it('reads no member from a value of another kind', () => {
+  it('decodes no member from a malformed value', () => {
     expect(decodeMember(encodeMember(member('a')))).toEqual(member('a'));
     for (const value of ['', '{}', '[]', '{"id":"a"}', 'null']) {
       expect(decodeMember(value)).toBeUndefined();
@@ -71,8 +71,8 @@
 
 const CLOCK_STEP_MS = 50;
 
-describe('the feed of the store', () => {
-  /** A store of which a test decides what each poll answers. */
+describe('store feed', () => {
+  /** A feed of a store whose answer to each poll is given by the test. */
   function createFeed(polls: (() => ReturnType<LeasedStore['changes']>)[]) {
     const clock = new VirtualClock();
     const seen: FeedChange[] = [];
@@ -90,7 +90,7 @@
         const next = polls.shift();
         if (next !== undefined) return next();
         stop.abort();
-        throw new StoreError('notSent', 'the test is over');
+        throw new StoreError('notSent', 'the test has ended');
       },
     };
     const feed = new StoreFeed({
@@ -108,11 +108,11 @@
     return {clock, feed, seen, asked, run};
   }
 
-  it('finds a change that an answered poll had passed over', async () => {
+  it('finds a change that an earlier poll missed', async () => {
     const {feed, seen, asked, run} = createFeed([
       async () => ({events: [], asOf: 12}),
       async () => ({events: [], asOf: 14}),
-      // The change at 13 was muted; asked for again, it is delivered.
+      // Earlier polls missed the change at revision 13; this one returns it.
       async () => ({
         events: [{key: 'k', value: 'late', revision: 13}],
         asOf: 14,
@@ -124,17 +124,17 @@
     expect(feed.ageMs()).toBeLessThan(1_000);
   });
 
-  it('asks twice a second however many changes come', async () => {
+  it('polls at most twice a second however many changes arrive', async () => {
     const changing = async () => ({events: [], asOf: 10});
     const {clock, asked, run} = createFeed(Array(200).fill(changing));
     const startedAt = clock.now();
     await run();
-    // Ten times as often in the first five seconds.
+    // In the first five seconds it polls ten times a second.
     const laterS = (clock.now() - startedAt) / 1_000 - 5;
     expect((asked.length - 52) / laterS).toBeLessThanOrEqual(2);
   });
 
-  it('reads everything anew where the history is gone', async () => {
+  it('lists everything again if the history has been compacted', async () => {
     const {seen, run} = createFeed([
       async () => {
         throw new HistoryGoneError();
@@ -144,7 +144,7 @@
     expect(seen.map(({value}) => value)).toEqual(['v1', 'v2']);
   });
 
-  it('proves nothing while polls fail, and ages as the wall clock does', async () => {
+  it('is not fresh before the first poll, and ages with the wall clock', async () => {
     const {clock, feed, run} = createFeed([
       async () => ({events: [], asOf: 11}),
     ]);
@@ -157,8 +157,8 @@
   });
 });
 
-describe('bounded logs', () => {
-  it('write so many lines of an event a second, and tell what they left out', () => {
+describe('bounded logger', () => {
+  it('limits the lines per event and second, and reports the suppressed ones', () => {
     let now = 0;
     const lines: string[] = [];
     const log = new BoundedLogger(
--- a/test/statements/leadership.test.ts
+++ b/test/statements/leadership.test.ts
@@ -8,8 +8,8 @@
   received: {term: 3, offset: 1},
 });
 
-describe('leadership of a group', () => {
-  it('believes an announcement until an answer says otherwise', () => {
+describe('leadership', () => {
+  it('trusts an announcement until an answer contradicts it', () => {
     const leadership = new Leadership();
     leadership.noteAnnounced('a', 'primary', 0);
     leadership.noteAnnounced('b', 'replica', 0);
@@ -18,7 +18,7 @@
     expect(leadership.leaderId).toBeUndefined();
   });
 
-  it('takes the highest term, whatever an old announcement repeats', () => {
+  it('prefers the highest term to a repeated old announcement', () => {
     const leadership = new Leadership();
     leadership.noteAccepted('a', 3, 10);
     leadership.noteState('b', stateOf(4), 20);
@@ -26,7 +26,7 @@
     expect(leadership.leaderId).toBe('b');
   });
 
-  it('keeps the term of a new primary whose log still ends in the old one', () => {
+  it('keeps the term of a new primary whose log still ends in the old term', () => {
     const leadership = new Leadership();
     leadership.noteAccepted('a', 3, 10);
     leadership.noteState('b', stateOf(4), 20);
@@ -34,7 +34,7 @@
     expect(leadership.leaderId).toBe('b');
   });
 
-  it('of two that accepted work in one term names the one that did so last', () => {
+  it('prefers the latest proof if two databases accepted work in one term', () => {
     const leadership = new Leadership();
     leadership.noteAccepted('a', 3, 10);
     leadership.noteAccepted('b', 3, 30);
@@ -42,7 +42,7 @@
     expect(leadership.leaderId).toBe('b');
   });
 
-  it('follows an announced change once the old primary has not proved itself lately', () => {
+  it('follows an announced change if the old primary has no recent proof', () => {
     const leadership = new Leadership();
     leadership.noteAnnounced('b', 'replica', 0);
     leadership.noteAccepted('a', 3, 1_000);
@@ -57,7 +57,7 @@
     expect(later.leaderId).toBe('a');
   });
 
-  it('names nobody while two only announce that they lead', () => {
+  it('has no leader while two databases announce the role without proof', () => {
     const leadership = new Leadership();
     leadership.noteAnnounced('a', 'primary', 0);
     leadership.noteAnnounced('b', 'primary', 0);
--- a/test/statements/primary-keeper.test.ts
+++ b/test/statements/primary-keeper.test.ts
@@ -9,9 +9,9 @@
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
 const STEP_MS = 10;
-const BOUND_MS = 1_500;
+const TIME_LIMIT_MS = 1_500;
 
-/** What a database answers when it is asked for its state. */
+/** Returns the answer of a database to a state query. */
 type Answer = () => DatabaseState | undefined;
 
 const replicaAt = (offset: number): DatabaseState => ({
@@ -20,7 +20,7 @@
   received: {term: 1, offset},
 });
 
-/** A keeper of a silent primary `a`; tells which database is named and when. */
+/** Runs a keeper with a silent primary `a`; returns what it promotes. */
 async function runKeeper(
   replicas: Readonly<
     Record<string, {readonly answer: Answer; readonly shown: number}>
@@ -29,7 +29,7 @@
   const clock = new VirtualClock();
   const leadership = new Leadership();
   leadership.noteAccepted('a', 1, 0);
-  const named: string[] = [];
+  const promoted: string[] = [];
   const silent: KeptDatabase = {
     id: 'a',
     isDraining: false,
@@ -61,7 +61,7 @@
     duty: {takeToken: async () => 7, release: async () => {}},
     orders: {
       promote: async ({databaseId}) => {
-        named.push(databaseId);
+        promoted.push(databaseId);
         return {kind: 'accepted'};
       },
     },
@@ -74,37 +74,37 @@
   const stop = new AbortController();
   void keeper.run(stop.signal);
   const startedAt = clock.now();
-  while (named.length === 0 && clock.now() - startedAt < BOUND_MS) {
+  while (promoted.length === 0 && clock.now() - startedAt < TIME_LIMIT_MS) {
     await clock.advance(STEP_MS);
   }
   stop.abort();
-  return {named, tookMs: clock.now() - startedAt};
+  return {promoted, tookMs: clock.now() - startedAt};
 }
 
-describe('the keeper of a group whose primary went silent', () => {
-  it('names the most advanced replica that says its state', async () => {
-    const {named} = await runKeeper({
+describe('primary keeper of a group whose primary is silent', () => {
+  it('promotes the most advanced replica that reports its state', async () => {
+    const {promoted} = await runKeeper({
       b: {answer: () => replicaAt(5), shown: 9},
       c: {answer: () => replicaAt(8), shown: 1},
     });
-    expect(named[0]).toBe('c');
+    expect(promoted[0]).toBe('c');
   });
 
-  it('asks a replica again that was too busy to say its state', async () => {
+  it('queries a replica again that was too busy to report its state', async () => {
     let asked = 0;
-    const {named, tookMs} = await runKeeper({
+    const {promoted, tookMs} = await runKeeper({
       b: {answer: () => (++asked > 4 ? replicaAt(5) : undefined), shown: 1},
     });
-    expect(named[0]).toBe('b');
+    expect(promoted[0]).toBe('b');
     expect(tookMs).toBeLessThan(500);
   });
 
-  it('names one that answers its work where all are too busy to say', async () => {
-    const {named, tookMs} = await runKeeper({
+  it('promotes a replica that answers statements if all are too busy to report', async () => {
+    const {promoted, tookMs} = await runKeeper({
       b: {answer: () => undefined, shown: 5},
       c: {answer: () => undefined, shown: 8},
     });
-    expect(named[0]).toBe('c');
+    expect(promoted[0]).toBe('c');
     expect(tookMs).toBeLessThan(1_000);
   });
 });
--- a/test/statements/read-placement.test.ts
+++ b/test/statements/read-placement.test.ts
@@ -8,11 +8,11 @@
 const COST_MS = 14;
 const SLOTS = 2;
 
-/** A database as a queue on virtual time. */
+/** A database modelled as a queue in virtual time. */
 interface ModelDatabase {
   readonly id: string;
   readonly isPrimary: boolean;
-  /** When each of its slots is free again. */
+  /** Time at which each slot becomes free. */
   readonly freeAt: number[];
   readonly endsAt: number[];
 }
@@ -21,7 +21,7 @@
 
 /**
  * Replays seeded arrivals on one group: a third can only go to the primary,
- * the rest may go anywhere. Returns the part answered within the aim.
+ * the rest may go anywhere. Returns the share that met the latency goal.
  */
 function replay(
   perSecond: number,
@@ -41,15 +41,15 @@
     const isUrgent = n % 3 === 0;
     const candidates = databases
       .filter(({isPrimary}) => isPrimary || !isUrgent)
-      .map(one => ({
-        id: one.id,
-        isPrimary: one.isPrimary,
+      .map(database => ({
+        id: database.id,
+        isPrimary: database.isPrimary,
         isReachable: true,
-        outstanding: one.endsAt.filter(at => at > now).length,
+        outstanding: database.endsAt.filter(at => at > now).length,
         slots: SLOTS,
         costMs: COST_MS,
         openingMs: 0,
-        distanceMs: one.isPrimary ? 0 : 4,
+        distanceMs: database.isPrimary ? 0 : 4,
         shown: {term: 1, offset: 1},
         fellShort: undefined,
       }));
@@ -78,22 +78,22 @@
     now: 0,
     avoid: new Set(),
   })[0]!;
-/** Each database in its turn, by a count that urgent work takes no part in. */
-const inTurn: Placer = (candidates, n) =>
+/** Round robin that doesn't count urgent work. */
+const roundRobin: Placer = (candidates, n) =>
   candidates[Math.floor(n / 3) % candidates.length]!.id;
 const atPrimary: Placer = () => 'db-0';
 
-describe('placing reads', () => {
-  it('keeps work that only the primary can do from waiting behind reads', () => {
-    const ours = replay(330, placed);
-    const turns = replay(330, inTurn);
+describe('read placement', () => {
+  it('keeps primary-only work from queueing behind reads', () => {
+    const placement = replay(330, placed);
+    const rotation = replay(330, roundRobin);
     const primary = replay(330, atPrimary);
-    expect(ours.urgent).toBeGreaterThan(turns.urgent);
-    expect(ours.all).toBeGreaterThan(turns.all);
-    expect(ours.all).toBeGreaterThan(primary.all + 0.2);
+    expect(placement.urgent).toBeGreaterThan(rotation.urgent);
+    expect(placement.all).toBeGreaterThan(rotation.all);
+    expect(placement.all).toBeGreaterThan(primary.all + 0.2);
   });
 
-  it('uses every database while one is not enough', () => {
+  it('uses every database if one is not enough', () => {
     const used = new Set<string>();
     replay(330, (candidates, n) => {
       const id = placed(candidates, n);
@@ -120,7 +120,7 @@
   });
   const needed = {term: 2, offset: 10};
 
-  it('sends nothing to a replica without a position to ask it for', () => {
+  it('sends nothing to a replica without a required position', () => {
     const input = {now: 0, avoid: new Set<string>(), needed: undefined};
     const primary = candidate({id: 'db-0', isPrimary: true, outstanding: 50});
     expect(placeRead({...input, candidates: [candidate({}), primary]})).toEqual(
@@ -128,7 +128,7 @@
     );
   });
 
-  it('leaves a replica alone for a moment that just lacked as much', () => {
+  it('avoids a replica for a short time after it refused as lagging', () => {
     const input = {needed, avoid: new Set<string>()};
     const fellShort = {at: 1_000, of: {term: 2, offset: 9}};
     const candidates = [candidate({fellShort})];
@@ -153,10 +153,10 @@
 
 /**
  * Replays seeded reads of many teams, some of them large, on three replicas
- * with a limited number of connections. Returns how many were opened, and the
- * part answered within the aim.
+ * with a limited number of connections. Returns how many connections were
+ * opened, and the share of reads that met the latency goal.
  */
-function replayTeams(knowsOpening: boolean): {opened: number; met: number} {
+function replayTeams(countsOpening: boolean): {opened: number; met: number} {
   const random = createRandom(11);
   const replicas = [0, 1, 2].map(n => ({
     id: `db-${n}`,
@@ -171,30 +171,30 @@
   for (let n = 0; n < count; n++) {
     now += -Math.log(1 - random.next()) * (1_000 / 260);
     const team = Math.floor(random.next() ** 2 * TEAMS);
-    const isIdle = (one: ModelConnection) => one.freeAt <= now;
-    const candidates = replicas.map((one, at) => ({
-      id: one.id,
+    const isIdle = (connection: ModelConnection) => connection.freeAt <= now;
+    const candidates = replicas.map((replica, at) => ({
+      id: replica.id,
       isPrimary: false,
       isReachable: true,
-      outstanding: one.endsAt.filter(endAt => endAt > now).length,
+      outstanding: replica.endsAt.filter(endAt => endAt > now).length,
       slots: SLOTS,
       costMs: COST_MS,
       openingMs:
-        knowsOpening &&
-        !one.connections.some(kept => kept.team === team && isIdle(kept))
+        countsOpening &&
+        !replica.connections.some(open => open.team === team && isIdle(open))
           ? OPENING_MS
           : 0,
-      // Without a difference the first one would be taken each time.
+      // Breaks ties, or the first replica would always be chosen.
       distanceMs: ((n + at) % 3) / 10,
       shown: {term: 1, offset: 1},
       fellShort: undefined,
     }));
     const id = placed(candidates, n);
-    const chosen = replicas.find(one => one.id === id)!;
+    const chosen = replicas.find(replica => replica.id === id)!;
     const slot = chosen.freeAt.indexOf(Math.min(...chosen.freeAt));
     let workMs = -Math.log(1 - random.next()) * COST_MS;
     let connection = chosen.connections.find(
-      kept => kept.team === team && isIdle(kept),
+      open => open.team === team && isIdle(open),
     );
     if (connection === undefined) {
       opened += 1;
@@ -217,8 +217,8 @@
   return {opened, met: met / count};
 }
 
-describe('placing reads of many teams', () => {
-  it('opens fewer connections where it looks for those that are open', () => {
+describe('read placement for many teams', () => {
+  it('opens fewer connections if it considers which ones are open', () => {
     const before = replayTeams(false);
     const after = replayTeams(true);
     expect(after.opened).toBeLessThan(before.opened * 0.8);
--- a/test/statements/relay.test.ts
+++ b/test/statements/relay.test.ts
@@ -30,7 +30,7 @@
   isLeaving: false,
 });
 
-/** A watcher's relay whose picture a test fills. */
+/** A watcher's relay whose state is set by the test. */
 function createRelay() {
   const clock = new VirtualClock();
   const feed = {
@@ -45,7 +45,7 @@
   return {clock, feed, relay: new FeedRelay(clock, feed)};
 }
 
-/** A node that reads over the watchers, and a store of its own. */
+/** A node that reads through watchers, and falls back to the store. */
 function createReader(answers: Partial<Record<string, () => unknown>>) {
   const asked: string[] = [];
   const peers: PeerCaller = {
@@ -53,7 +53,7 @@
       expect(method).toBe(RELAY_METHOD);
       asked.push(id);
       const answer = answers[id];
-      if (answer === undefined) throw new Error('out of reach');
+      if (answer === undefined) throw new Error('unreachable');
       return answer();
     },
   };
@@ -69,8 +69,8 @@
   return {asked, reader: new RelayedStore({store, peers, log, watchers})};
 }
 
-describe('the watchers of a fleet', () => {
-  it('are two in a small fleet and few in a large one', () => {
+describe('choice of watchers', () => {
+  it('takes two in a small fleet and few in a large one', () => {
     const fleet = (size: number) =>
       Array.from({length: size}, (_, n) => member(n));
     expect(chooseWatchers(fleet(7))).toHaveLength(2);
@@ -78,7 +78,7 @@
     expect(chooseWatchers(fleet(1_000))).toHaveLength(22);
   });
 
-  it('are asked nearest first, and not all nodes ask the same one', () => {
+  it('prefers watchers in the same data centre and spreads the nodes over them', () => {
     const fleet = Array.from({length: 1_000}, (_, n) => member(n));
     const watchers = chooseWatchers(fleet);
     const asks = new Map<string, number>();
@@ -92,14 +92,14 @@
   });
 });
 
-describe('a relay', () => {
+describe('feed relay', () => {
   const put = (key: string, revision: number): FeedChange => ({
     key,
     value: `${key}@${revision}`,
     revision,
   });
 
-  it('hands on what changed after a revision, the oldest first', () => {
+  it('returns the changes after a revision, oldest first', () => {
     const {relay} = createRelay();
     for (const change of [put('b', 9), put('a', 4), put('c', 7)]) {
       relay.note(change);
@@ -113,7 +113,7 @@
     });
   });
 
-  it('hands removals on, and sends for everything once it has forgotten some', async () => {
+  it('returns removals, and reports that it has forgotten older ones', async () => {
     const {clock, relay} = createRelay();
     relay.note(put('a', 4));
     relay.note({key: 'a', value: undefined, revision: 6});
@@ -124,14 +124,14 @@
     expect(relay.serve({after: 6})).toMatchObject({changes: []});
   });
 
-  it('answers nothing before its picture is complete', () => {
+  it('refuses requests before its state is complete', () => {
     const {feed, relay} = createRelay();
     feed.revision = undefined;
     expect(() => relay.serve({})).toThrow(/no picture/);
   });
 });
 
-describe('reading over watchers', () => {
+describe('store read through watchers', () => {
   const fresh = (ageMs: number) => () => ({
     changes: [['k', 'v', 12]],
     asOf: 12,
@@ -139,7 +139,7 @@
     interruptedMsAgo: null,
   });
 
-  it('asks one watcher and not the store', async () => {
+  it('queries one watcher and not the store', async () => {
     const {asked, reader} = createReader({w1: fresh(200)});
     expect(await reader.changes('', 5, 0)).toMatchObject({
       events: [{key: 'k', value: 'v', revision: 12}],
@@ -149,7 +149,7 @@
     expect(asked).toEqual(['w1']);
   });
 
-  it('goes on to the next one, and to the store, where an answer is missing or old', async () => {
+  it('falls back to the next watcher, then to the store, if an answer is missing or old', async () => {
     const second = createReader({w2: fresh(100)});
     await second.reader.changes('', 5, 0);
     expect(second.asked).toEqual(['w1', 'w2']);
@@ -158,7 +158,7 @@
     expect(old.asked).toEqual(['w1', 'w2', 'store']);
   });
 
-  it('takes nonsense for no answer', async () => {
+  it('ignores malformed answers', async () => {
     const {asked, reader} = createReader({
       w1: () => ({changes: 'all'}),
       w2: () => undefined,
@@ -167,7 +167,7 @@
     expect(asked).toEqual(['w1', 'w2', 'store']);
   });
 
-  it('lists anew where the watcher has forgotten what is asked for', async () => {
+  it('requires a new listing if the watcher has forgotten the requested changes', async () => {
     const {reader} = createReader({w1: () => ({isGone: true})});
     await expect(reader.changes('', 5, 0)).rejects.toThrow(HistoryGoneError);
   });
--- a/test/statements/statement-codec.test.ts
+++ b/test/statements/statement-codec.test.ts
@@ -36,7 +36,7 @@
   nearOnly: true,
 };
 
-describe('statements between peers', () => {
+describe('statement codec', () => {
   it.each([
     REQUEST,
     {
@@ -53,7 +53,7 @@
         prepared: undefined,
       },
     } satisfies StatementRequest,
-  ])('arrive as they were sent (%#)', req => {
+  ])('decodes a request as it was encoded (%#)', req => {
     const body = decodeFrame(encodeFrame(encodeRequest(req)));
     expect(decodeRequest(body)).toEqual(req);
   });
@@ -80,12 +80,12 @@
       position: undefined,
       output: {rows: [], signature: '', error: {code: 'failed', detail: 'why'}},
     },
-  ])('bring their results back (%#)', result => {
+  ])('decodes a result as it was encoded (%#)', result => {
     const body = decodeFrame(encodeFrame(encodeResult(result)));
     expect(decodeResult(body)).toEqual(result);
   });
 
-  it('are refused where a peer sends something else', () => {
+  it('decodes no request from a malformed body', () => {
     for (const body of [undefined, null, 'text', {}, [], ['a', 'b']]) {
       expect(decodeRequest(body)).toBeUndefined();
     }
