--- a/src/home/connection-pool.ts
+++ b/src/home/connection-pool.ts
@@ -1,6 +1,6 @@
 /**
- * A connection pool for one database, with a fair queue between teams. A slot
- * is a connection together with the right to use it.
+ * A connection pool for one database, with a queue that is fair to teams.
+ * A slot is a connection together with the right to use it.
  */
 import {ConcurrencyLimit} from '../admission/concurrency-limit.js';
 import {FairQueue} from '../admission/fair-queue.js';
--- a/src/home/home-service.ts
+++ b/src/home/home-service.ts
@@ -153,21 +153,21 @@
     group: string,
     databaseId: string,
   ): Promise<SwitchResult> {
-    const home = this.#ensure(group);
+    const home = this.#ensureHome(group);
     if (home !== undefined) return home.switchTo(databaseId);
     return {kind: 'notStarted', reason: `there is no group ${group}`};
   }
 
   /** A transaction stays at its home if the group's description changes. */
   #homeFor({group, pin}: ExecRequest): GroupHome | undefined {
-    if (pin === undefined) return this.#ensure(group);
+    if (pin === undefined) return this.#ensureHome(group);
     const previous = [...this.#superseded].find(home =>
       home.hasTransaction(pin),
     );
-    return previous ?? this.#ensure(group);
+    return previous ?? this.#ensureHome(group);
   }
 
-  #ensure(group: string): GroupHome | undefined {
+  #ensureHome(group: string): GroupHome | undefined {
     const spec = this.#options.groups().find(({name}) => name === group);
     if (spec === undefined) return undefined;
     const fingerprint = JSON.stringify(spec);
@@ -200,7 +200,7 @@
     const {groups, isFirstHome} = this.#options;
     const listed = new Set(groups().map(({name}) => name));
     for (const name of listed) {
-      if (isFirstHome(name) || this.#homes.has(name)) this.#ensure(name);
+      if (isFirstHome(name) || this.#homes.has(name)) this.#ensureHome(name);
     }
     for (const [name, {home}] of this.#homes) {
       const isOurs = listed.has(name) && isFirstHome(name);
