--- a/src/groups/failover-agent.ts
+++ b/src/groups/failover-agent.ts
@@ -4,10 +4,10 @@
 import {
   assessFailoverNeed,
   suspect,
-  type EvidencePort,
+  type ReachabilityPort,
   type FailoverCause,
-  type Need,
-} from './evidence.js';
+  type FailoverNeed,
+} from './failover-need.js';
 import {orderFailover, type FailoverResult} from './failover.js';
 import {highestTerm} from './group-view.js';
 import type {GroupMonitor} from './monitor.js';
@@ -53,7 +53,7 @@
   readonly random: Random;
   readonly monitor: GroupMonitor;
   readonly controls: readonly DatabaseControl[];
-  readonly evidence: EvidencePort;
+  readonly reachability: ReachabilityPort;
   /** Unique to this process of this VM; a restart needs a new one. */
   readonly instanceId: string;
   readonly rank?: DatabaseRank;
@@ -120,7 +120,7 @@
     const {clock, monitor} = this.#options;
     const {signal} = this.#stopping;
     if (failures > 0) return clock.sleep(this.#backoffMs(failures), signal);
-    const {isUneasy} = monitor;
+    const {isDegraded: isUneasy} = monitor;
     const periodMs = isUneasy ? CHECK_PERIOD_MS : HEALTHY_CHECK_PERIOD_MS;
     return sleepToTick(clock, periodMs, signal);
   }
@@ -168,8 +168,8 @@
     }
   }
 
-  async #assess(): Promise<Need> {
-    const {clock, monitor, evidence} = this.#options;
+  async #assess(): Promise<FailoverNeed> {
+    const {clock, monitor, reachability: evidence} = this.#options;
     const view = monitor.current();
     const suspicion = suspect(view);
     const needsPeerVotes =
--- a/src/groups/primary-keeper.ts
+++ b/src/groups/failover-coordinator.ts
@@ -4,7 +4,7 @@
 import {comparePositions, type Position} from '../session/position.js';
 import type {DatabaseState} from '../statements/types.js';
 import type {Logger} from '../telemetry/log.js';
-import type {FailoverDuty, FailoverOrders} from './failover-duty.js';
+import type {FailoverLease, FailoverOrders} from './failover-lease.js';
 import type {Leadership} from './leadership.js';
 
 const CHECK_PERIOD_MS = 100;
@@ -33,34 +33,34 @@
 const BUSY_RETRY_PAUSE_MS = 20;
 
 /** A database as the coordinator sees it. */
-export interface KeptDatabase {
+export interface TrackedDatabase {
   readonly id: string;
   /** Whether it is draining, before it leaves the group. */
   readonly isDraining: boolean;
   /** Whether it is suspected to be down and should be probed. */
   readonly isSuspect: boolean;
   /** The last log position reported in its answers. */
-  readonly shown: Position | undefined;
+  readonly visiblePosition: Position | undefined;
   /**
    * Queries its state over a new connection; undefined while it is too busy.
    */
-  askState(): Promise<DatabaseState | undefined>;
+  queryState(): Promise<DatabaseState | undefined>;
   /** The same over an open connection, or over a new one if none is open. */
-  askStateSoon(): Promise<DatabaseState | undefined>;
+  queryStateOnOpenConnection(): Promise<DatabaseState | undefined>;
 }
 
 /** Options of {@link FailoverCoordinator}. */
-export interface PrimaryKeeperOptions {
+export interface FailoverCoordinatorOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly group: string;
   /** Id of this node. */
   readonly self: string;
   readonly leadership: Leadership;
-  readonly duty: Pick<FailoverDuty, 'takeToken' | 'release'>;
+  readonly failoverLease: Pick<FailoverLease, 'acquireToken' | 'release'>;
   readonly orders: FailoverOrders;
   /** The databases that the platform announces now. */
-  readonly databases: () => readonly KeptDatabase[];
+  readonly databases: () => readonly TrackedDatabase[];
   /** Whether this node is the one that promotes databases of the group. */
   readonly isResponsible: () => boolean;
   /** Holds writes until the returned function is called. */
@@ -85,18 +85,18 @@
  * const coordinator = new FailoverCoordinator(options);
  * void coordinator.run(signal);
  */
-export class PrimaryKeeper {
-  readonly #options: PrimaryKeeperOptions;
+export class FailoverCoordinator {
+  readonly #options: FailoverCoordinatorOptions;
   #leaderlessSince: number | undefined;
   #isReplacingPrimary = false;
   #checkedAt = -Infinity;
 
-  constructor(options: PrimaryKeeperOptions) {
+  constructor(options: FailoverCoordinatorOptions) {
     this.#options = options;
   }
 
   /** Whether the primary is being replaced. */
-  get isChanging(): boolean {
+  get isReplacingPrimary(): boolean {
     return this.#isReplacingPrimary;
   }
 
@@ -149,14 +149,14 @@
   }
 
   /** Probes an unresponsive primary over new connections. */
-  async #probe(leader: KeptDatabase): Promise<ChangeCause | undefined> {
+  async #probe(leader: TrackedDatabase): Promise<ChangeCause | undefined> {
     const {clock, leadership} = this.#options;
     for (let failed = 0; failed < PROBE_ATTEMPTS; failed++) {
       try {
         const requestedAt = clock.now();
-        const state = await leader.askState();
+        const state = await leader.queryState();
         if (state !== undefined) {
-          leadership.noteState(leader.id, state, requestedAt);
+          leadership.recordState(leader.id, state, requestedAt);
         }
         return undefined;
       } catch {
@@ -222,9 +222,10 @@
     const release = await holdWrites();
     const until = clock.now() + CATCH_UP_TIMEOUT_MS;
     try {
-      const wanted = (await old?.askStateSoon())?.received;
+      const wanted = (await old?.queryStateOnOpenConnection())?.received;
       while (wanted !== undefined && clock.now() < until) {
-        const chosenPosition = (await chosen?.askStateSoon())?.received;
+        const chosenPosition = (await chosen?.queryStateOnOpenConnection())
+          ?.received;
         if (
           chosenPosition !== undefined &&
           comparePositions(chosenPosition, wanted) >= 0
@@ -243,8 +244,8 @@
   }
 
   async #promote(databaseId: string): Promise<void> {
-    const {duty, orders, group, self, log} = this.#options;
-    const token = await duty.takeToken(group);
+    const {failoverLease: duty, orders, group, self, log} = this.#options;
+    const token = await duty.acquireToken(group);
     if (token === undefined) return;
     const outcome = await orders.promote({
       group,
@@ -273,9 +274,11 @@
       const candidate = databases().find(({id}) => id === databaseId);
       if (candidate === undefined) return;
       const requestedAt = clock.now();
-      const state = await candidate.askStateSoon().catch(() => undefined);
+      const state = await candidate
+        .queryStateOnOpenConnection()
+        .catch(() => undefined);
       if (state !== undefined) {
-        leadership.noteState(databaseId, state, requestedAt);
+        leadership.recordState(databaseId, state, requestedAt);
       }
       if (leadership.leaderId !== databaseId || state?.role !== 'primary')
         continue;
@@ -295,13 +298,13 @@
    * Queries a database's state, with retries; undefined if none came in time.
    */
   async #queryStateUntil(
-    database: KeptDatabase,
+    database: TrackedDatabase,
     until: number,
   ): Promise<DatabaseState | undefined> {
     const {clock, log, group} = this.#options;
     while (clock.now() < until) {
       try {
-        const state = await database.askStateSoon();
+        const state = await database.queryStateOnOpenConnection();
         if (state !== undefined) return state;
       } catch (err) {
         log.info('stateQueryFailed', {
@@ -317,7 +320,7 @@
 
   /** Queries all databases; returns the states of those that answer in time. */
   async #queryStates(
-    databases: readonly KeptDatabase[],
+    databases: readonly TrackedDatabase[],
   ): Promise<ReadonlyMap<string, DatabaseState>> {
     const {clock, leadership} = this.#options;
     const states = new Map<string, DatabaseState>();
@@ -327,7 +330,7 @@
       const state = await this.#queryStateUntil(database, until);
       if (state === undefined) return;
       states.set(database.id, state);
-      leadership.noteState(database.id, state, requestedAt);
+      leadership.recordState(database.id, state, requestedAt);
     });
     const done = new AbortController();
     await Promise.race([
@@ -348,8 +351,11 @@
 }
 
 /** The last reported positions of the databases that are not suspected. */
-function visibleLogEnds(databases: readonly KeptDatabase[]): readonly LogEnd[] {
-  return databases.flatMap(({id, isSuspect, shown}): readonly LogEnd[] =>
-    isSuspect || shown === undefined ? [] : [[id, shown]],
+function visibleLogEnds(
+  databases: readonly TrackedDatabase[],
+): readonly LogEnd[] {
+  return databases.flatMap(
+    ({id, isSuspect, visiblePosition: shown}): readonly LogEnd[] =>
+      isSuspect || shown === undefined ? [] : [[id, shown]],
   );
 }
--- a/src/groups/failover-duty.ts
+++ b/src/groups/failover-lease.ts
@@ -34,7 +34,7 @@
 }
 
 /** Options of {@link FailoverLease}. */
-export interface FailoverDutyOptions {
+export interface FailoverLeaseOptions {
   readonly store: LeasedStore;
   readonly log: Logger;
   /** Id of this node. */
@@ -44,12 +44,12 @@
 }
 
 /** Acquires and releases this node's failover leases, one per group. */
-export class FailoverDuty {
-  readonly #options: FailoverDutyOptions;
+export class FailoverLease {
+  readonly #options: FailoverLeaseOptions;
   /** Revision of the key as this node last wrote it, by group. */
   readonly #held = new Map<string, number>();
 
-  constructor(options: FailoverDutyOptions) {
+  constructor(options: FailoverLeaseOptions) {
     this.#options = options;
   }
 
@@ -61,7 +61,7 @@
    * const token = await failoverLease.acquireToken('claims');
    * if (token !== undefined) await orders.promote({group, databaseId, holder, token});
    */
-  async takeToken(group: string): Promise<number | undefined> {
+  async acquireToken(group: string): Promise<number | undefined> {
     const {store, self, lease, log} = this.#options;
     const leaseId = lease();
     if (leaseId === undefined) return undefined;
--- a/src/groups/evidence.ts
+++ b/src/groups/failover-need.ts
@@ -16,7 +16,7 @@
 const MIN_VOTERS = 3;
 
 /** Port to the other nodes: queries which databases they can reach. */
-export interface EvidencePort {
+export interface ReachabilityPort {
   /**
    * Asks at least two other nodes whether they can reach a database now. Nodes
    * that don't answer within about 100 ms are left out of the result, because
@@ -51,7 +51,7 @@
 /**
  * The assessment of a group from this node's view and the other nodes' votes.
  */
-export type Need =
+export type FailoverNeed =
   | {readonly kind: 'healthy'}
   | {readonly kind: 'noMajority'}
   /** Other nodes reach the primary; only this node's link to it is faulty. */
@@ -94,8 +94,8 @@
  */
 export async function assessFailoverNeed(
   view: GroupView,
-  reachability: EvidencePort,
-): Promise<Need> {
+  reachability: ReachabilityPort,
+): Promise<FailoverNeed> {
   const suspicion = suspect(view);
   if (suspicion.kind !== 'suspected') return suspicion;
   const {cause} = suspicion;
--- a/src/groups/leadership.ts
+++ b/src/groups/leadership.ts
@@ -48,7 +48,7 @@
   }
 
   /** Records the announced role of a database; ignored if unchanged. */
-  noteAnnounced(
+  recordAnnouncement(
     id: string,
     role: 'primary' | 'replica' | undefined,
     at: number,
@@ -73,7 +73,7 @@
   }
 
   /** Records that a database accepted a command that only a primary accepts. */
-  noteAccepted(id: string, term: number, sentAt: number): void {
+  recordProof(id: string, term: number, sentAt: number): void {
     const known = this.#claims.get(id);
     const wasLeading = known?.leads === true;
     if (wasLeading && known.term >= term && known.provenAt >= sentAt) return;
@@ -85,7 +85,7 @@
   }
 
   /** Records that a database refused a command that only a primary accepts. */
-  noteRefused(id: string): void {
+  recordRefusal(id: string): void {
     this.#set(id, FOLLOWER_CLAIM);
   }
 
@@ -93,12 +93,12 @@
    * Records the state that a database reported to a query sent at
    * `requestedAt`.
    */
-  noteState(
+  recordState(
     id: string,
     {role, term}: DatabaseState,
     requestedAt: number,
   ): void {
-    if (role === 'primary') this.noteAccepted(id, term, requestedAt);
+    if (role === 'primary') this.recordProof(id, term, requestedAt);
     else this.#set(id, FOLLOWER_CLAIM);
   }
 
--- a/src/groups/monitor.ts
+++ b/src/groups/monitor.ts
@@ -132,7 +132,7 @@
     const {signal} = this.#stopping;
     while (!signal.aborted) {
       await this.#poll(monitored);
-      const periodMs = this.isUneasy ? DEGRADED_PERIOD_MS : this.#periodMs;
+      const periodMs = this.isDegraded ? DEGRADED_PERIOD_MS : this.#periodMs;
       await sleepToTick(this.#clock, periodMs, signal);
     }
   }
@@ -141,7 +141,7 @@
    * Whether a database does not answer or a replica receives nothing from its
    * primary, so that a failover may be needed or in progress.
    */
-  get isUneasy(): boolean {
+  get isDegraded(): boolean {
     return this.#monitored.some(
       ({status, unansweredSince}) =>
         unansweredSince !== undefined ||
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -5,9 +5,9 @@
  * every commit acknowledged before a given time. Reads at replicas use them.
  */
 import {OPEN_TEAM, type Catalog, type DatabaseEntry} from '../catalog/types.js';
-import type {FailoverDuty, FailoverOrders} from '../groups/failover-duty.js';
+import type {FailoverLease, FailoverOrders} from '../groups/failover-lease.js';
 import {Leadership} from '../groups/leadership.js';
-import {PrimaryKeeper} from '../groups/primary-keeper.js';
+import {FailoverCoordinator} from '../groups/failover-coordinator.js';
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import type {BudgetHolder} from '../quota/budget-holder.js';
@@ -67,7 +67,7 @@
   readonly connector: StatementConnector;
   readonly catalog: () => Catalog;
   readonly quota: Pick<BudgetHolder, 'admit'>;
-  readonly duty: FailoverDuty;
+  readonly duty: FailoverLease;
   readonly orders: FailoverOrders;
   /** Returns whether this node is the first choice as the group's home. */
   readonly isFirstHome: () => boolean;
@@ -96,7 +96,7 @@
   readonly #certificates = new PositionCertificates();
   readonly #transactions: OpenTransactions<TeamConnection, OpenTransaction>;
   readonly #gate: WriteGate;
-  readonly #keeper: PrimaryKeeper;
+  readonly #keeper: FailoverCoordinator;
   readonly #reads: CertifiedReads;
   readonly #writes: PrimaryWrites;
   readonly #transactionStatements: TransactionStatements;
@@ -185,7 +185,7 @@
       this.#members.set(entry.id, this.#createMember(entry));
     }
     const now = this.#options.clock.now();
-    this.#leadership.noteAnnounced(entry.id, entry.role, now);
+    this.#leadership.recordAnnouncement(entry.id, entry.role, now);
   }
 
   /**
@@ -298,7 +298,9 @@
   }
 
   get #primaryRetryMs(): number {
-    return this.#keeper.isChanging ? FAILOVER_RETRY_MS : NO_PRIMARY_RETRY_MS;
+    return this.#keeper.isReplacingPrimary
+      ? FAILOVER_RETRY_MS
+      : NO_PRIMARY_RETRY_MS;
   }
 
   #createMember(entry: DatabaseEntry): GroupMember {
@@ -350,15 +352,15 @@
     }
   }
 
-  #createKeeper(): PrimaryKeeper {
+  #createKeeper(): FailoverCoordinator {
     const {clock, log, group, self, duty, orders, isResponsible} =
       this.#options;
-    return new PrimaryKeeper({
+    return new FailoverCoordinator({
       clock,
       log,
       group,
       self,
-      duty,
+      failoverLease: duty,
       orders,
       leadership: this.#leadership,
       databases: () => {
@@ -367,9 +369,9 @@
           id: member.id,
           isDraining: member.entry.isDraining,
           isSuspect: member.health.isSuspect,
-          shown: member.visiblePosition,
-          askState: () => member.queryStateOverNewConnection(),
-          askStateSoon: () => member.queryState(),
+          visiblePosition: member.visiblePosition,
+          queryState: () => member.queryStateOverNewConnection(),
+          queryStateOnOpenConnection: () => member.queryState(),
         }));
       },
       isResponsible,
--- a/src/home/certified-reads.ts
+++ b/src/home/certified-reads.ts
@@ -345,11 +345,11 @@
         outstanding: member.pool.outstanding,
         slots: member.entry.slots,
         costMs: member.pool.costMs,
-        openingMs: member.openingMs(req.team),
-        distanceMs:
+        connectMs: member.openingMs(req.team),
+        roundTripMs:
           member.entry.dataCentre === dataCentre ? 0 : REMOTE_PENALTY_MS,
-        shown: member.visiblePosition,
-        fellShort: member.lastLagRefusal,
+        visiblePosition: member.visiblePosition,
+        lastShortfall: member.lastLagRefusal,
       }));
     const isPrimaryOnly = req.consistency === 'primary';
     return placeRead({
--- a/src/home/group-databases.ts
+++ b/src/home/group-databases.ts
@@ -2,7 +2,7 @@
 import type {Clock, Random} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import {AckTracker} from '../groups/acknowledgement.js';
-import type {EvidencePort} from '../groups/evidence.js';
+import type {ReachabilityPort} from '../groups/failover-need.js';
 import {FailoverAgent, type FailoverEvent} from '../groups/failover-agent.js';
 import {majorityOf, type GroupView} from '../groups/group-view.js';
 import {GroupMonitor} from '../groups/monitor.js';
@@ -45,7 +45,7 @@
   readonly spec: GroupSpec;
   readonly dataCentre: string;
   readonly access: DatabaseAccess;
-  readonly evidence: EvidencePort;
+  readonly evidence: ReachabilityPort;
   /** Unique to this process on this VM. */
   readonly instanceId: string;
   readonly connectionLimit: (spec: DatabaseSpec) => number;
@@ -89,7 +89,7 @@
       controls,
       random: options.random,
       monitor: this.monitor,
-      evidence: options.evidence,
+      reachability: options.evidence,
       instanceId: options.instanceId,
       onEvent: options.onFailover,
     });
@@ -194,10 +194,10 @@
   async #abandonSilent(): Promise<void> {
     const {signal} = this.#stopping;
     while (!signal.aborted) {
-      const {isUneasy} = this.monitor;
+      const {isDegraded: isUneasy} = this.monitor;
       const periodMs = isUneasy ? ABANDON_CHECK_MS : HEALTHY_ABANDON_CHECK_MS;
       await sleepToTick(this.clock, periodMs, signal);
-      if (!this.monitor.isUneasy) continue;
+      if (!this.monitor.isDegraded) continue;
       for (const {spec, unreachableMs} of this.view().databases) {
         if (unreachableMs >= ABANDON_AFTER_MS) this.runs.abandon(spec.id);
       }
--- a/src/home/group-member.ts
+++ b/src/home/group-member.ts
@@ -42,7 +42,8 @@
   readonly #options: GroupMemberOptions;
   readonly #running = new Set<TeamConnection>();
   #visiblePosition: Position | undefined;
-  #lastLagRefusal: {readonly at: number; readonly of: Position} | undefined;
+  #lastLagRefusal:
+    {readonly at: number; readonly position: Position} | undefined;
   #refusesUntil = -Infinity;
   #connectMs = INITIAL_CONNECT_MS;
 
@@ -77,7 +78,7 @@
 
   /** Time and position of the last read that it refused as lagging. */
   get lastLagRefusal():
-    {readonly at: number; readonly of: Position} | undefined {
+    {readonly at: number; readonly position: Position} | undefined {
     return this.#lastLagRefusal;
   }
 
@@ -116,8 +117,8 @@
   }
 
   /** Records that the database has not applied a position yet. */
-  recordLagRefusal(of: Position): void {
-    this.#lastLagRefusal = {at: this.#options.clock.now(), of};
+  recordLagRefusal(position: Position): void {
+    this.#lastLagRefusal = {at: this.#options.clock.now(), position};
   }
 
   /** Forgets the known position, as the log may have been truncated. */
--- a/src/home/home-service.ts
+++ b/src/home/home-service.ts
@@ -1,5 +1,5 @@
 /** Opens, serves and closes the group homes on this VM. */
-import type {EvidencePort} from '../groups/evidence.js';
+import type {ReachabilityPort} from '../groups/failover-need.js';
 import type {FailoverEvent} from '../groups/failover-agent.js';
 import type {GroupView} from '../groups/group-view.js';
 import type {SwitchResult} from '../groups/planned-switch.js';
@@ -36,7 +36,7 @@
   readonly dataCentre: string;
   readonly instanceId: string;
   readonly access: DatabaseAccess;
-  readonly evidence: EvidencePort;
+  readonly evidence: ReachabilityPort;
   readonly groups: () => readonly GroupSpec[];
   readonly row: (group: string) => GroupRow | undefined;
   readonly weightOf: (team: string) => number;
--- a/src/home/primary-writes.ts
+++ b/src/home/primary-writes.ts
@@ -173,7 +173,7 @@
   #notRun(member: GroupMember, reply: DatabaseReply | undefined): TryOutcome {
     const code = reply?.kind === 'error' ? reply.code : 'no reply';
     if (code === 'notLeader') {
-      this.#ctx.leadership.noteRefused(member.id);
+      this.#ctx.leadership.recordRefusal(member.id);
       return {result: undefined, verdict: noPrimary(this.#ctx)};
     }
     const message = `database ${member.id} refused the statement: ${code}`;
--- a/src/home/read-path.ts
+++ b/src/home/read-path.ts
@@ -92,7 +92,7 @@
       attempt.sink,
       position =>
         role === 'primary' ||
-        databases.reads.ageOfShown(databaseId, position) <= req.staleMs,
+        databases.reads.maxAgeMsAt(databaseId, position) <= req.staleMs,
     );
     const pool = databases.pool(databaseId);
     const {team, priority} = req;
--- a/src/home/statement-attempt.ts
+++ b/src/home/statement-attempt.ts
@@ -123,10 +123,10 @@
   sentAt: number,
 ): void {
   if (begun.kind === 'done' && begun.position !== undefined) {
-    certificates.note(begun.position, sentAt);
-    leadership.noteAccepted(member.id, begun.position.term, sentAt);
+    certificates.record(begun.position, sentAt);
+    leadership.recordProof(member.id, begun.position.term, sentAt);
   } else if (begun.kind === 'error' && begun.code === 'notLeader') {
-    leadership.noteRefused(member.id);
+    leadership.recordRefusal(member.id);
   }
 }
 
--- a/src/home/transaction-statements.ts
+++ b/src/home/transaction-statements.ts
@@ -105,7 +105,7 @@
     const {transactions, leadership} = this.#ctx;
     const {slot, member} = open;
     if (reply.kind === 'error') {
-      if (reply.code === 'notLeader') leadership.noteRefused(member.id);
+      if (reply.code === 'notLeader') leadership.recordRefusal(member.id);
       transactions.rollBack(slot);
       const transaction = req.commits ? 'idle' : 'failed';
       return answered(reply, {transaction});
--- a/src/home/write-path.ts
+++ b/src/home/write-path.ts
@@ -153,7 +153,7 @@
         return undefined;
       }
       if (end.position) {
-        databases.reads.notePosition(databaseId, end.position, sentAt);
+        databases.reads.recordPosition(databaseId, end.position, sentAt);
       }
       const ran = {slot, databaseId, answer, end};
       if (onlyOpenedTransaction(answer.startPosition, end) && !pool.mayPin) {
--- a/src/index.ts
+++ b/src/index.ts
@@ -137,11 +137,11 @@
   type StatusReport,
 } from './groups/monitor.js';
 export type {
-  EvidencePort,
+  ReachabilityPort,
   FailoverCause,
-  Need,
+  FailoverNeed,
   Suspicion,
-} from './groups/evidence.js';
+} from './groups/failover-need.js';
 export {
   FailoverAgent,
   type FailoverAgentOptions,
--- a/src/node/peer-ports.ts
+++ b/src/node/peer-ports.ts
@@ -5,7 +5,7 @@
   BudgetReply,
   NodeRef,
 } from '../admission/types.js';
-import type {EvidencePort} from '../groups/evidence.js';
+import type {ReachabilityPort} from '../groups/failover-need.js';
 import {toPeerAddress} from '../membership/known-vm.js';
 import {HOME_METHODS} from '../home/messages.js';
 import type {Member} from '../membership/member.js';
@@ -86,7 +86,7 @@
 }
 
 /** Asks nodes of other data centres what they reach. */
-export class PeerEvidence implements EvidencePort {
+export class PeerEvidence implements ReachabilityPort {
   readonly #members: Members;
   readonly #caller: PeerCaller;
   readonly #dataCentre: string;
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -8,7 +8,7 @@
 import {RELAY_METHOD} from '../fleet/feed-relay.js';
 import {RelayedStore} from '../fleet/relayed-store.js';
 import type {FeedChange} from '../fleet/store-feed.js';
-import {FailoverDuty, type FailoverOrders} from '../groups/failover-duty.js';
+import {FailoverLease, type FailoverOrders} from '../groups/failover-lease.js';
 import {HomeForwarder, splitPin} from '../home/home-forwarder.js';
 import {HomeWatch, PING_METHOD} from '../home/home-watch.js';
 import {
@@ -321,7 +321,7 @@
       catalog: () => this.#picture.catalog,
       entries: () => this.#picture.entries,
       quota: this.#budgets.holder,
-      duty: new FailoverDuty({
+      duty: new FailoverLease({
         store,
         log,
         self: id,
--- a/src/routing/certificates.ts
+++ b/src/routing/certificates.ts
@@ -36,7 +36,7 @@
   /**
    * Records the position that a primary reported to a command sent at `sentAt`.
    */
-  note(position: Position, sentAt: number): void {
+  record(position: Position, sentAt: number): void {
     const last = this.#certificates.at(-1);
     if (last !== undefined) {
       if (sentAt <= last.sentAt || !covers(position, last.position)) return;
--- a/src/routing/read-placement.ts
+++ b/src/routing/read-placement.ts
@@ -33,13 +33,14 @@
   /** Average execution time of a statement, in milliseconds. */
   readonly costMs: number;
   /** Time to open a connection, in ms; 0 if the team has an idle one. */
-  readonly openingMs: number;
+  readonly connectMs: number;
   /** Network round-trip time, in milliseconds. */
-  readonly distanceMs: number;
+  readonly roundTripMs: number;
   /** The last log position known to be visible to its reads. */
-  readonly shown: Position | undefined;
+  readonly visiblePosition: Position | undefined;
   /** When it last refused a read because its log lacked `position`. */
-  readonly fellShort: {readonly at: number; readonly of: Position} | undefined;
+  readonly lastShortfall:
+    {readonly at: number; readonly position: Position} | undefined;
 }
 
 /** Input of {@link placeRead}. */
@@ -80,14 +81,14 @@
 
 /** Whether a replica's data may include the needed position. */
 function mayInclude(
-  {shown, fellShort}: PlacementCandidate,
+  {visiblePosition: shown, lastShortfall: fellShort}: PlacementCandidate,
   needed: Position,
   now: number,
 ): boolean {
   if (shown !== undefined && covers(shown, needed)) return true;
   if (fellShort === undefined || now - fellShort.at > SHORTFALL_TTL_MS)
     return true;
-  return !covers(needed, fellShort.of);
+  return !covers(needed, fellShort.position);
 }
 
 function expectedWaitMs(candidate: PlacementCandidate): number {
@@ -96,5 +97,5 @@
   const penaltyMs = candidate.isPrimary
     ? PRIMARY_PENALTY_STATEMENTS * candidate.costMs
     : 0;
-  return queuedMs + penaltyMs + candidate.openingMs + candidate.distanceMs;
+  return queuedMs + penaltyMs + candidate.connectMs + candidate.roundTripMs;
 }
--- a/src/routing/read-router.ts
+++ b/src/routing/read-router.ts
@@ -68,7 +68,7 @@
   /**
    * Records the position reported by a database for a batch sent at `sentAt`.
    */
-  notePosition(databaseId: string, position: Position, sentAt: number): void {
+  recordPosition(databaseId: string, position: Position, sentAt: number): void {
     const {primaryId} = this.#monitor.current();
     if (databaseId === primaryId) {
       this.#ages.recordPrimary(position.term, position, sentAt);
@@ -94,7 +94,7 @@
   }
 
   /** Returns the maximum age of data that a replica has just returned. */
-  ageOfShown(databaseId: string, visible: Position): number {
+  maxAgeMsAt(databaseId: string, visible: Position): number {
     const now = this.#clock.now();
     this.#ages.recordReplica(databaseId, visible, now);
     return this.#ages.ageMs(databaseId, now);
--- a/test/groups/failover-need.test.ts
+++ b/test/groups/failover-need.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, test} from 'vitest';
-import {assessFailoverNeed, suspect} from '../../src/groups/evidence.js';
+import {assessFailoverNeed, suspect} from '../../src/groups/failover-need.js';
 import {groupViewOf, type DatabaseView} from '../../src/groups/group-view.js';
 import type {DatabaseStatus} from '../../src/groups/types.js';
 import {createDatabaseSpec} from '../fakes/database-spec.js';
