--- a/src/catalog/types.ts
+++ b/src/catalog/types.ts
@@ -19,7 +19,7 @@
   /** Limit of one statement. */
   readonly timeoutMs: number;
   /** Response time to aim at, for a whole operation. */
-  readonly aimMs: number;
+  readonly latencyGoalMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   /** Whether callers need no key. */
--- a/src/home/bound-connection.ts
+++ b/src/home/bound-connection.ts
@@ -57,8 +57,8 @@
    *
    * @throws TargetError `notSent` or `lost`
    */
-  askState(): Promise<DatabaseState | undefined> {
-    return this.#connection.askState();
+  queryState(): Promise<DatabaseState | undefined> {
+    return this.#connection.queryState();
   }
 
   onClose(listener: () => void): void {
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -67,7 +67,7 @@
   readonly connector: StatementConnector;
   readonly catalog: () => Catalog;
   readonly quota: Pick<BudgetHolder, 'admit'>;
-  readonly duty: FailoverLease;
+  readonly failoverLease: FailoverLease;
   readonly orders: FailoverOrders;
   /** Returns whether this node is the first choice as the group's home. */
   readonly isFirstHome: () => boolean;
@@ -161,7 +161,7 @@
     this.#stopping.abort();
     this.#transactions.stop();
     for (const {pool} of this.#members.values()) pool.close();
-    void this.#options.duty.release(this.#options.group);
+    void this.#options.failoverLease.release(this.#options.group);
   }
 
   /** Rolls back a transaction whose caller has disconnected. */
@@ -255,7 +255,7 @@
       req,
       signal,
       arrivedAt: now,
-      latencyGoalAt: now + req.aimMs,
+      latencyGoalAt: now + req.latencyGoalMs,
       deadlineAt: now + req.deadlineMs,
     };
     const isRead = req.kind === 'read' && req.opens === undefined;
@@ -353,8 +353,15 @@
   }
 
   #createKeeper(): FailoverCoordinator {
-    const {clock, log, group, self, duty, orders, isResponsible} =
-      this.#options;
+    const {
+      clock,
+      log,
+      group,
+      self,
+      failoverLease: duty,
+      orders,
+      isResponsible,
+    } = this.#options;
     return new FailoverCoordinator({
       clock,
       log,
--- a/src/home/certified-reads.ts
+++ b/src/home/certified-reads.ts
@@ -345,7 +345,7 @@
         outstanding: member.pool.outstanding,
         slots: member.entry.slots,
         costMs: member.pool.costMs,
-        connectMs: member.openingMs(req.team),
+        connectMs: member.connectMs(req.team),
         roundTripMs:
           member.entry.dataCentre === dataCentre ? 0 : REMOTE_PENALTY_MS,
         visiblePosition: member.visiblePosition,
--- a/src/home/group-databases.ts
+++ b/src/home/group-databases.ts
@@ -45,7 +45,7 @@
   readonly spec: GroupSpec;
   readonly dataCentre: string;
   readonly access: DatabaseAccess;
-  readonly evidence: ReachabilityPort;
+  readonly reachability: ReachabilityPort;
   /** Unique to this process on this VM. */
   readonly instanceId: string;
   readonly connectionLimit: (spec: DatabaseSpec) => number;
@@ -89,7 +89,7 @@
       controls,
       random: options.random,
       monitor: this.monitor,
-      reachability: options.evidence,
+      reachability: options.reachability,
       instanceId: options.instanceId,
       onEvent: options.onFailover,
     });
--- a/src/home/group-member.ts
+++ b/src/home/group-member.ts
@@ -86,7 +86,7 @@
    * Expected time to open a connection for a team's request; 0 if one is open
    * and idle.
    */
-  openingMs(team: string): number {
+  connectMs(team: string): number {
     return this.connections.hasIdle(team) ? 0 : this.#connectMs;
   }
 
@@ -166,14 +166,14 @@
   }
 
   async #queryStateOn(
-    connection: Pick<TeamConnection, 'askState' | 'close'>,
+    connection: Pick<TeamConnection, 'queryState' | 'close'>,
   ): Promise<DatabaseState | undefined> {
     const {clock} = this.#options;
     const cancel = startTimer(clock, STATE_TIMEOUT_MS, () =>
       connection.close(),
     );
     try {
-      const state = await connection.askState();
+      const state = await connection.queryState();
       this.health.noteAnswer();
       return state;
     } finally {
--- a/src/home/home-forwarder.ts
+++ b/src/home/home-forwarder.ts
@@ -7,7 +7,7 @@
   type NotRun,
   type Verdict,
 } from '../verdict/verdict.js';
-import type {HomeWatch} from './home-watch.js';
+import type {HomeMonitor} from './home-watch.js';
 import type {HomeRequest, HomeResult} from './types.js';
 
 /** Maximum number of homes tried for one request. */
@@ -46,7 +46,7 @@
   /** Creates the result of a request that failed with a verdict. */
   readonly failed: (verdict: Verdict) => Res;
   /** Detects silent homes; without it every home is assumed to answer. */
-  readonly watch?: HomeWatch | undefined;
+  readonly watch?: HomeMonitor | undefined;
 }
 
 /** Location of an open transaction: its node and its pin there. */
--- a/src/home/home-service.ts
+++ b/src/home/home-service.ts
@@ -36,7 +36,7 @@
   readonly dataCentre: string;
   readonly instanceId: string;
   readonly access: DatabaseAccess;
-  readonly evidence: ReachabilityPort;
+  readonly reachability: ReachabilityPort;
   readonly groups: () => readonly GroupSpec[];
   readonly row: (group: string) => GroupRow | undefined;
   readonly weightOf: (team: string) => number;
--- a/src/home/home-watch.ts
+++ b/src/home/home-watch.ts
@@ -47,7 +47,7 @@
  * await call(request.signal);
  * request.end('answered');
  */
-export class HomeWatch {
+export class HomeMonitor {
   readonly #options: HomeMonitorOptions;
   readonly #homes = new Map<string, MonitoredHome>();
 
--- a/src/home/statement-homes.ts
+++ b/src/home/statement-homes.ts
@@ -102,7 +102,7 @@
   }
 
   /** Applies a database's announcement; undefined if it is gone. */
-  applyEntry(id: string, entry: DatabaseEntry | undefined): void {
+  applyDatabase(id: string, entry: DatabaseEntry | undefined): void {
     for (const [group, home] of this.#homes) {
       // The database may have moved to another group under the same id.
       if (group === entry?.group) home.applyDatabase(entry);
--- a/src/home/statement-request.ts
+++ b/src/home/statement-request.ts
@@ -18,7 +18,7 @@
   readonly consistency: Consistency;
   readonly maxStalenessMs: number;
   /** Time left to meet the route's latency goal, in milliseconds. */
-  readonly aimMs: number;
+  readonly latencyGoalMs: number;
   /** Log position of the session's last commit in this group. */
   readonly position: HomeResult['position'];
   readonly values: SessionValues;
--- a/src/node/create-homes.ts
+++ b/src/node/create-homes.ts
@@ -31,7 +31,7 @@
       connect: spec => connectTarget(ctx, spec),
     },
     replicaWaitMs: ctx.settings.replicaWaitMs,
-    evidence: new PeerEvidence(members, ctx.peers, dataCentre),
+    reachability: new PeerEvidence(members, ctx.peers, dataCentre),
     groups: () => ctx.config.groups,
     row: group => ctx.config.document.table.groups.get(group),
     weightOf: team =>
--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -1,7 +1,7 @@
 /** The team budgets at one node: its part as a holder, and as an owner. */
 import {addressOf} from '../fleet/member-list.js';
 import type {MemberLease} from '../fleet/member-lease.js';
-import type {HomeWatch} from '../home/home-watch.js';
+import type {HomeMonitor} from '../home/home-watch.js';
 import type {Clock} from '../infra/clock.js';
 import type {PeerCaller, PeerHandler} from '../peers/types.js';
 import {BudgetHolder} from '../quota/budget-holder.js';
@@ -26,7 +26,7 @@
   readonly picture: Pick<NodePicture, 'catalog' | 'hasEarlierProcesses'>;
   readonly places: Pick<NodePlaces, 'budgetOrder' | 'firstAnswering'>;
   readonly lease: Pick<MemberLease, 'isHeld' | 'heldForMs'>;
-  readonly watch: Pick<HomeWatch, 'begin'>;
+  readonly watch: Pick<HomeMonitor, 'begin'>;
   readonly peers: PeerCaller;
   /** Length of the windows for which the teams' limits hold. */
   readonly windowMs: number;
--- a/src/node/node-places.ts
+++ b/src/node/node-places.ts
@@ -3,7 +3,7 @@
 import {addressOf} from '../fleet/member-list.js';
 import type {FleetMember} from '../fleet/member-record.js';
 import {chooseWatchers, orderWatchers} from '../fleet/watchers.js';
-import type {HomeWatch} from '../home/home-watch.js';
+import type {HomeMonitor} from '../home/home-watch.js';
 import type {PeerAddress} from '../peers/types.js';
 import {chooseNearbyReader} from '../routing/nearby-reader.js';
 import type {NodePicture} from './node-picture.js';
@@ -14,7 +14,7 @@
   readonly dataCentre: string;
   readonly picture: Pick<NodePicture, 'members' | 'entries'>;
   /** Tells which nodes are silent. */
-  readonly watch: Pick<HomeWatch, 'isSilent'>;
+  readonly watch: Pick<HomeMonitor, 'isSilent'>;
 }
 
 /**
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -10,7 +10,7 @@
 import type {FeedChange} from '../fleet/store-feed.js';
 import {FailoverLease, type FailoverOrders} from '../groups/failover-lease.js';
 import {HomeForwarder, splitPin} from '../home/home-forwarder.js';
-import {HomeWatch, PING_METHOD} from '../home/home-watch.js';
+import {HomeMonitor, PING_METHOD} from '../home/home-watch.js';
 import {
   failedStatement,
   STATEMENT_METHODS,
@@ -118,7 +118,7 @@
   readonly #lease: MemberLease;
   readonly #budgets: NodeBudgets;
   readonly #homes: StatementHomes;
-  readonly #watch: HomeWatch;
+  readonly #watch: HomeMonitor;
   readonly #sessionContext: SessionContext;
   readonly #startedAt = this.#clock.now();
   #isLeaving = false;
@@ -134,7 +134,7 @@
       clock,
       connectTimeoutMs: PEER_CONNECT_TIMEOUT_MS,
     });
-    this.#watch = new HomeWatch({clock, peers: this.#peers, log});
+    this.#watch = new HomeMonitor({clock, peers: this.#peers, log});
     this.#picture = new NodePicture({
       clock,
       log,
@@ -146,7 +146,8 @@
         watchers: () => this.#places.watchersToAsk(),
       }),
       decode: options.decode,
-      onDatabase: (database, entry) => this.#homes.applyEntry(database, entry),
+      onDatabase: (database, entry) =>
+        this.#homes.applyDatabase(database, entry),
     });
     this.#places = new NodePlaces({
       self: id,
@@ -321,7 +322,7 @@
       catalog: () => this.#picture.catalog,
       entries: () => this.#picture.entries,
       quota: this.#budgets.holder,
-      duty: new FailoverLease({
+      failoverLease: new FailoverLease({
         store,
         log,
         self: id,
--- a/src/sessions/statement-session.ts
+++ b/src/sessions/statement-session.ts
@@ -253,7 +253,7 @@
       statement,
       consistency: route.consistency,
       maxStalenessMs: route.maxStalenessMs,
-      aimMs: Math.max(0, route.aimMs - (open?.spentMs ?? 0)),
+      latencyGoalMs: Math.max(0, route.latencyGoalMs - (open?.spentMs ?? 0)),
       position: this.#positions.get(route.group),
       values: this.#values,
       opens: isOpening ? opens : undefined,
--- a/src/statements/connection.ts
+++ b/src/statements/connection.ts
@@ -18,7 +18,7 @@
    *
    * @throws TargetError `notSent` or `lost`
    */
-  askState(): Promise<DatabaseState | undefined>;
+  queryState(): Promise<DatabaseState | undefined>;
   close(): void;
   /** Calls `listener` once, when the connection is closed. */
   onClose(listener: () => void): void;
