--- a/src/home/batch-runs.ts
+++ b/src/home/batch-runs.ts
@@ -4,7 +4,7 @@
 import {
   TargetError,
   type AnswerObserver,
-  type BatchEnd,
+  type BatchOutcome,
   type TargetConnection,
 } from '../targets/types.js';
 
@@ -45,7 +45,7 @@
    * @throws TargetError `lost` if the caller stopped waiting or the connection
    * was lost
    */
-  async run(run: BatchRun): Promise<BatchEnd> {
+  async run(run: BatchRun): Promise<BatchOutcome> {
     const {connection, frames, observer, signal} = run;
     const cancels: Promise<void>[] = [];
     let abandonReason: string | undefined;
--- a/src/home/bound-connection.ts
+++ b/src/home/bound-connection.ts
@@ -8,7 +8,7 @@
   DatabaseCommand,
   DatabaseReply,
   DatabaseState,
-  PreparedShape,
+  PreparedStatement,
 } from '../statements/types.js';
 import {TargetError, type TransactionStatus} from '../targets/types.js';
 import type {PooledConnection} from './connection-pool.js';
@@ -84,7 +84,7 @@
    */
   async applySession(
     values: SessionValues,
-    prepared: PreparedShape | undefined,
+    prepared: PreparedStatement | undefined,
     timeoutMs: number,
   ): Promise<void> {
     const commands = [
@@ -153,7 +153,7 @@
   }
 
   #commandsForPrepared(
-    prepared: PreparedShape | undefined,
+    prepared: PreparedStatement | undefined,
   ): readonly DatabaseCommand[] {
     if (prepared === undefined) return [];
     const key = shapeKey(prepared);
@@ -170,6 +170,6 @@
   }
 }
 
-function shapeKey({access, shape}: PreparedShape): string {
+function shapeKey({access, shape}: PreparedStatement): string {
   return `${access} ${shape}`;
 }
--- a/src/home/statement-codec.ts
+++ b/src/home/statement-codec.ts
@@ -8,7 +8,7 @@
 import type {
   CallerStatement,
   DatabaseErrorCode,
-  PreparedShape,
+  PreparedStatement,
   StatementOutput,
 } from '../statements/types.js';
 import type {TransactionStatus} from '../targets/types.js';
@@ -187,7 +187,7 @@
 function decodePrepared([access, shape]: readonly [
   number,
   string,
-]): PreparedShape {
+]): PreparedStatement {
   return {access: access === 0 ? 'read' : 'write', shape};
 }
 
--- a/src/home/write-path.ts
+++ b/src/home/write-path.ts
@@ -1,7 +1,7 @@
 /** Runs writes and transactions at the primary and awaits acknowledgement. */
 import {ackVerdict, type AckMode} from '../groups/acknowledgement.js';
 import {comparePositions, type Position} from '../session/position.js';
-import {TargetError, type BatchEnd} from '../targets/types.js';
+import {TargetError, type BatchOutcome} from '../targets/types.js';
 import {isRetryable} from '../verdict/retry.js';
 import {
   DONE,
@@ -44,7 +44,7 @@
   readonly slot: Slot;
   readonly databaseId: string;
   readonly answer: WriteAnswer;
-  readonly end: BatchEnd;
+  readonly end: BatchOutcome;
 }
 
 /** Runs writes on a group's primary. */
@@ -174,7 +174,7 @@
     slot: Slot,
     answer: WriteAnswer,
     {req, deadlineAt}: ExecAttempt,
-  ): Promise<BatchEnd> {
+  ): Promise<BatchOutcome> {
     return this.#options.databases.runs.run({
       sessionId: req.sessionId,
       databaseId,
@@ -245,7 +245,7 @@
  * True if the batch reports what a later primary could contradict: a commit, or
  * a write that found nothing to change.
  */
-function needsAck(start: Position | undefined, end: BatchEnd): boolean {
+function needsAck(start: Position | undefined, end: BatchOutcome): boolean {
   if (end.position === undefined) return end.transaction === 'idle';
   const committed =
     start === undefined || comparePositions(end.position, start) !== 0;
@@ -255,7 +255,7 @@
 /** True if the batch opened a transaction and committed nothing. */
 function onlyOpenedTransaction(
   start: Position | undefined,
-  end: BatchEnd,
+  end: BatchOutcome,
 ): boolean {
   if (end.transaction === 'idle') return false;
   if (start === undefined || end.position === undefined) return false;
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -343,7 +343,7 @@
       access: new AccessGate({
         catalog: () => this.#picture.catalog,
         ageMs: () => this.#picture.feed.ageMs(),
-        keyLimitMs,
+        maxCatalogAgeMs: keyLimitMs,
       }),
       forwarder: new HomeForwarder<StatementRequest, StatementResult, never>({
         self: id,
--- a/src/sessions/access.ts
+++ b/src/sessions/access.ts
@@ -38,7 +38,7 @@
   /** Milliseconds since the catalog was last proven to be the newest. */
   readonly ageMs: () => number;
   /** Age above which the catalog may miss the withdrawal of a key. */
-  readonly keyLimitMs: number;
+  readonly maxCatalogAgeMs: number;
 }
 
 /**
@@ -46,7 +46,7 @@
  *
  * @param revokeMs time within which a withdrawn key must stop working
  */
-export function keyLimitFor(revokeMs: number): number {
+export function maxCatalogAgeFor(revokeMs: number): number {
   return revokeMs - REVOKE_SAFETY_MS;
 }
 
@@ -65,7 +65,7 @@
   }
 
   check({database, key}: Credentials): AccessDecision {
-    const {catalog, ageMs, keyLimitMs} = this.#options;
+    const {catalog, ageMs, maxCatalogAgeMs: keyLimitMs} = this.#options;
     const {routes, keys, teams, version} = catalog();
     const basis = {version, ageMs: Math.round(ageMs())};
     const refused = (verdict: NotRun): AccessDecision => ({
--- a/src/sessions/statement-session.ts
+++ b/src/sessions/statement-session.ts
@@ -12,7 +12,7 @@
 import {laterPosition, type Position} from '../session/position.js';
 import type {
   CallerStatement,
-  PreparedShape,
+  PreparedStatement,
   SessionCommand,
   StatementOutput,
 } from '../statements/types.js';
@@ -88,7 +88,7 @@
   readonly id = randomBytes(SESSION_ID_BYTES).toString('hex');
   readonly #ctx: SessionContext;
   readonly #credentials: Credentials;
-  readonly #prepared = new Map<string, PreparedShape>();
+  readonly #prepared = new Map<string, PreparedStatement>();
   readonly #positions = new Map<string, Position>();
   #values: SessionValues = {};
   #transaction: Transaction | undefined;
@@ -141,7 +141,7 @@
   }
 
   /** Rolls back an open transaction; the caller's next command reports it. */
-  breakTransaction(): void {
+  abortTransaction(): void {
     this.#releasePin();
     if (this.#transaction !== undefined) this.#transaction.isFailed = true;
   }
@@ -184,7 +184,7 @@
     return this.#local();
   }
 
-  #prepare(name: string, shape: PreparedShape): SessionReply {
+  #prepare(name: string, shape: PreparedStatement): SessionReply {
     if (
       !this.#prepared.has(name) &&
       this.#prepared.size >= MAX_SESSION_ENTRIES
@@ -327,7 +327,7 @@
     request: string | undefined,
   ): SessionReply {
     const {log} = this.#ctx;
-    this.breakTransaction();
+    this.abortTransaction();
     log.info('accessRefused', {
       request,
       session: this.id,
--- a/src/statements/types.ts
+++ b/src/statements/types.ts
@@ -3,7 +3,7 @@
 import type {TransactionStatus} from '../targets/types.js';
 
 /** A caller's prepared statement without its name. */
-export interface PreparedShape {
+export interface PreparedStatement {
   readonly access: 'read' | 'write';
   /** The prepared text, opaque to the proxy; arguments follow on execution. */
   readonly shape: string;
@@ -16,7 +16,7 @@
   readonly access: 'read' | 'write' | 'commit';
   /** The statement text, or only the arguments if `prepared` is set. */
   readonly text: string;
-  readonly prepared?: PreparedShape | undefined;
+  readonly prepared?: PreparedStatement | undefined;
 }
 
 /** A command from a caller to its session. */
@@ -28,7 +28,7 @@
   | {
       readonly kind: 'prepare';
       readonly name: string;
-      readonly shape: PreparedShape;
+      readonly shape: PreparedStatement;
     }
   | {
       readonly kind: 'execute';
@@ -59,7 +59,7 @@
   | {
       readonly kind: 'prepare';
       readonly name: string;
-      readonly shape: PreparedShape;
+      readonly shape: PreparedStatement;
     }
   /** Drops session values and prepared statements. */
   | {readonly kind: 'reset'};
--- a/src/targets/answer-reader.ts
+++ b/src/targets/answer-reader.ts
@@ -4,7 +4,7 @@
 import {
   TargetError,
   type AnswerObserver,
-  type BatchEnd,
+  type BatchOutcome,
   type TransactionStatus,
 } from './types.js';
 
@@ -46,7 +46,7 @@
   }
 
   /** Returns the batch's outcome, given the status in its ReadyForQuery. */
-  finish(transaction: TransactionStatus): BatchEnd {
+  finish(transaction: TransactionStatus): BatchOutcome {
     return {transaction, position: this.#position, failed: this.#failed};
   }
 
--- a/src/targets/pg-connection.ts
+++ b/src/targets/pg-connection.ts
@@ -13,7 +13,7 @@
 import {
   TargetError,
   type AnswerObserver,
-  type BatchEnd,
+  type BatchOutcome,
   type TargetConnection,
   type TransactionStatus,
 } from './types.js';
@@ -109,7 +109,10 @@
     return this.#transaction;
   }
 
-  async run(frames: Uint8Array, observer: AnswerObserver): Promise<BatchEnd> {
+  async run(
+    frames: Uint8Array,
+    observer: AnswerObserver,
+  ): Promise<BatchOutcome> {
     if (this.#running) {
       throw new TargetError('notSent', 'another batch runs on this connection');
     }
@@ -195,7 +198,7 @@
     );
   }
 
-  async #readAnswer(observer: AnswerObserver): Promise<BatchEnd> {
+  async #readAnswer(observer: AnswerObserver): Promise<BatchOutcome> {
     const answer = new AnswerReader(observer);
     for (;;) {
       const frame =
--- a/src/targets/types.ts
+++ b/src/targets/types.ts
@@ -24,7 +24,7 @@
 export type TransactionStatus = 'idle' | 'open' | 'failed';
 
 /** The outcome of a batch, known at its ReadyForQuery. */
-export interface BatchEnd {
+export interface BatchOutcome {
   readonly transaction: TransactionStatus;
   /** The log position that the database reported with the answer, if any. */
   readonly position: Position | undefined;
@@ -52,7 +52,7 @@
    * Sends frontend frames, either one Query or a batch that ends with Sync, and
    * streams the answer to the observer until ReadyForQuery.
    */
-  run(frames: Uint8Array, observer: AnswerObserver): Promise<BatchEnd>;
+  run(frames: Uint8Array, observer: AnswerObserver): Promise<BatchOutcome>;
   /** Sends a CancelRequest for the batch that this connection runs. */
   cancel(): Promise<void>;
   close(): void;
