--- a/src/admission/allocation.ts
+++ b/src/admission/allocation.ts
@@ -1,36 +1,45 @@
-/** How an owner divides a budget between the nodes that need it. */
-
-import {isNoShare, NO_SHARE, tokensIn, unitsFor, WHOLE_UNITS} from './share.js';
+/** The policy by which an owner allocates a budget to nodes, by their demand. */
+
+import {
+  isEmptyShare,
+  EMPTY_SHARE,
+  tokensIn,
+  unitsFor,
+  WHOLE_UNITS,
+} from './share.js';
 import type {BudgetLimits, Share, SyncMessage} from './types.js';
 
-/** The part of the rate that the owner keeps for nodes that ask. */
+/** The part of the rate that the owner reserves for token requests. */
 const RESERVED_RATE_RATIO = 0.05;
 
-/** The part of the burst that the owner keeps for nodes that ask. */
+/** The part of the burst that the owner reserves for token requests. */
 const RESERVED_BURST_RATIO = 0.25;
 
-/** Most nodes besides the owner that keep a reserve of a budget. */
+/** Maximum number of standbys: nodes that keep a reserve besides the owner. */
 export const MAX_STANDBYS = 6;
 
-/** A reserve is of use only if its burst holds this many tokens. */
-const MIN_RESERVE_TOKENS = 4;
+/** Minimum burst of a standby reserve, in tokens; a smaller one is useless. */
+const MIN_STANDBY_TOKENS = 4;
 
-/** A share whose burst holds fewer tokens than this is of no use. */
+/** Minimum burst of a share, in tokens; a smaller one is useless. */
 const MIN_SHARE_TOKENS = 2;
 
-/** Demand over this part of the rate leaves nothing to keep for later. */
+/**
+ * A team is overloaded if its demand exceeds this multiple of its rate. The
+ * owner then reserves no rate, as all of it is needed now.
+ */
 const OVERLOAD_RATIO = 1.3;
 
-/** Pause between asks, and rounds of recalls, while a team is overloaded. */
+/** Pause between token requests, and between recalls, under overload. */
 export const OVERLOAD_PAUSE_MS = 1_000;
 
-/** An asking node is given tokens for this long ahead, if there are plenty. */
-const ASK_AHEAD_S = 0.25;
+/** A token request is granted tokens for this much future demand. */
+const PREFETCH_S = 0.25;
 
-/** The part of the owner's tokens that may be given ahead of need. */
-const MAX_AHEAD_RATIO = 0.25;
+/** Maximum part of the owner's tokens granted for future demand. */
+const MAX_PREFETCH_RATIO = 0.25;
 
-/** Whether callers offer clearly more than the rate. */
+/** True if the demand clearly exceeds the rate. */
 export function isOverloaded(
   totalDemand: number,
   limits: BudgetLimits,
@@ -38,92 +47,99 @@
   return totalDemand > OVERLOAD_RATIO * limits.rate;
 }
 
-/** The share that a node should have, given its part of all demand. */
+/** Returns the share that a node should have for its part of the demand. */
 export function targetShare(
   demand: number,
   totalDemand: number,
   limits: BudgetLimits,
 ): Share {
-  if (demand <= 0 || totalDemand <= 0) return NO_SHARE;
+  if (demand <= 0 || totalDemand <= 0) return EMPTY_SHARE;
   const ratio = Math.min(1, demand / totalDemand) * WHOLE_UNITS;
   const reservedRate = reservedRateRatio(totalDemand, limits);
   const burst = Math.floor(ratio * (1 - RESERVED_BURST_RATIO));
-  // Such a node is served by asking for each statement.
-  if (tokensIn(burst, limits) < MIN_SHARE_TOKENS) return NO_SHARE;
+  // Too small to be useful: the node requests a token for each statement.
+  if (tokensIn(burst, limits) < MIN_SHARE_TOKENS) return EMPTY_SHARE;
   return {rate: Math.floor(ratio * (1 - reservedRate)), burst};
 }
 
-/** The share that the owner keeps when it raises the shares of others. */
-export function ownerShare(
+/** Returns the part of the pool that the owner keeps when it raises shares. */
+export function ownerReserve(
   ownDemand: number,
   totalDemand: number,
   limits: BudgetLimits,
 ): Share {
   const ratio = totalDemand > 0 ? Math.min(1, ownDemand / totalDemand) : 0;
-  const kept = (reserved: number) =>
+  const unitsToKeep = (reserved: number) =>
     Math.ceil((reserved + ratio * (1 - reserved)) * WHOLE_UNITS);
   return {
-    rate: kept(reservedRateRatio(totalDemand, limits)),
-    burst: kept(RESERVED_BURST_RATIO),
+    rate: unitsToKeep(reservedRateRatio(totalDemand, limits)),
+    burst: unitsToKeep(RESERVED_BURST_RATIO),
   };
 }
 
-/** How many nodes besides the owner keep a reserve of a budget. */
+/** Returns the number of standbys that a budget's burst allows. */
 export function standbyCount(limits: BudgetLimits): number {
-  const parts = Math.floor(limits.burst / MIN_RESERVE_TOKENS);
+  const parts = Math.floor(limits.burst / MIN_STANDBY_TOKENS);
   return Math.max(0, Math.min(MAX_STANDBYS, parts - 1));
 }
 
 /**
- * What each of the owner's standbys keeps without demand, so that most of a
- * budget outlives its owner. `here` is what all of them have between them.
+ * Returns the share that each standby keeps even without demand, so that most
+ * of a budget stays usable when its owner fails. `total` is the share that the
+ * owner and its standbys have together.
  */
-export function reserveShare(here: Share, standbys: number): Share {
+export function standbyReserve(total: Share, standbys: number): Share {
   const part = (units: number) => Math.floor(units / (standbys + 1));
-  return {rate: part(here.rate), burst: part(here.burst)};
+  return {rate: part(total.rate), burst: part(total.burst)};
 }
 
-/** The part of `wanted` that fits into `pool` without what is kept of it. */
-export function affordableRise(
+/**
+ * Returns how much of the increase from `held` to `wanted` the pool can cover
+ * while it keeps `reserved`.
+ */
+export function affordableIncrease(
   held: Share,
   wanted: Share,
   pool: Share,
-  kept: Share,
+  reserved: Share,
 ): Share {
-  const rise = (key: keyof Share) =>
-    Math.max(0, Math.min(wanted[key] - held[key], pool[key] - kept[key]));
-  return {rate: rise('rate'), burst: rise('burst')};
+  const increase = (key: keyof Share) =>
+    Math.max(0, Math.min(wanted[key] - held[key], pool[key] - reserved[key]));
+  return {rate: increase('rate'), burst: increase('burst')};
 }
 
 /**
- * The tokens that go along with a grant: in proportion to the burst that moves,
- * and more for a node where statements wait.
+ * Returns the tokens to grant with a share: in proportion to the burst granted,
+ * and more for a node with blocked statements.
  */
 export function tokensToGrant(
   sync: SyncMessage,
   poolTokens: number,
   poolBurst: number,
-  risenBurst: number,
+  addedBurst: number,
   target: Share,
 ): number {
-  const ratio = poolBurst > 0 ? risenBurst / poolBurst : 0;
-  const inProportion = poolTokens * ratio;
-  if (sync.waiting === 0) return inProportion;
-  // A node without a share of its own would keep others from the tokens.
-  const ahead = isNoShare(target)
+  const ratio = poolBurst > 0 ? addedBurst / poolBurst : 0;
+  const proportional = poolTokens * ratio;
+  if (sync.waiting === 0) return proportional;
+  // Tokens prefetched to a node without a share would be kept from the others.
+  const prefetch = isEmptyShare(target)
     ? 0
-    : Math.min(sync.demand * ASK_AHEAD_S, poolTokens * MAX_AHEAD_RATIO);
-  return Math.max(inProportion, Math.min(poolTokens, sync.waiting + ahead));
+    : Math.min(sync.demand * PREFETCH_S, poolTokens * MAX_PREFETCH_RATIO);
+  return Math.max(proportional, Math.min(poolTokens, sync.waiting + prefetch));
 }
 
-/** The burst that a waiting node needs for `tokens`, and for a whole one. */
-export function roomFor(
+/**
+ * Returns the units of burst that a node with blocked statements needs to store
+ * `tokens` more, and in total at least one token.
+ */
+export function burstUnitsToGrant(
   tokens: number,
   held: Share,
   limits: BudgetLimits,
 ): number {
-  const whole = Math.max(0, unitsFor(1, limits) - held.burst);
-  return Math.max(whole, unitsFor(tokens, limits));
+  const missingForOne = Math.max(0, unitsFor(1, limits) - held.burst);
+  return Math.max(missingForOne, unitsFor(tokens, limits));
 }
 
 function reservedRateRatio(totalDemand: number, limits: BudgetLimits): number {
--- a/src/admission/avoided-nodes.ts
+++ b/src/admission/avoided-nodes.ts
@@ -1,9 +1,9 @@
-/** Nodes that are not asked for a while, as they did not answer. */
+/** Temporarily excludes nodes that did not answer. */
 
 import type {Clock} from '../infra/clock.js';
 
 /**
- * Remembers nodes for a fixed time.
+ * A set of nodes whose entries expire after a fixed time.
  *
  * @example
  * const avoided = new AvoidedNodes(clock, 3_000);
@@ -15,7 +15,7 @@
   readonly #pauseMs: number;
   readonly #untilMs = new Map<string, number>();
 
-  /** `pauseMs` is how long a node is avoided, on the monotonic clock. */
+  /** `pauseMs` is how long a node is excluded, in monotonic time. */
   constructor(clock: Pick<Clock, 'now'>, pauseMs: number) {
     this.#clock = clock;
     this.#pauseMs = pauseMs;
--- a/src/admission/budget-record.ts
+++ b/src/admission/budget-record.ts
@@ -1,16 +1,16 @@
-/** The store's record of who owns a budget. */
+/** The ownership records of team budgets in the store. */
 
 import * as z from 'zod';
 import type {Store, StoredValue} from '../infra/store.js';
 
 const KEY_PREFIX = 'zinnia/budget/';
 
-/** Who owns a budget. Epochs only rise. */
+/** The owner of a budget. Each change of ownership raises the epoch. */
 export interface BudgetRecord {
   readonly epoch: number;
   /** The owner's instance id. */
   readonly owner: string;
-  /** Earlier owners whose grants may not all be accounted for. */
+  /** Earlier owners whose grants the current owner may not know of. */
   readonly predecessors: readonly string[];
 }
 
@@ -31,7 +31,7 @@
   return KEY_PREFIX + team;
 }
 
-/** Reads and writes the records. Every method may throw `StoreError`. */
+/** Reads and writes ownership records. Every method may throw `StoreError`. */
 export class BudgetRecords {
   readonly #store: Store;
 
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Replaces the record if it is still at `revision` (0: absent); returns the
-   * record that then stands.
+   * Replaces the record by compare-and-swap if it is still at `revision`
+   * (0: absent). Returns the record that is stored afterwards.
    */
   async replace(
     team: string,
@@ -67,7 +67,7 @@
   const parsed = schema.safeParse(readJson(stored.value));
   if (parsed.success) return {record: parsed.data, revision: stored.revision};
   throw new Error(
-    `the store's value of ${stored.key} is no budget record; ` +
+    `the store's value of ${stored.key} is not a valid budget record; ` +
       'restore it with a higher epoch than any before',
   );
 }
--- a/src/admission/budget-refusal.ts
+++ b/src/admission/budget-refusal.ts
@@ -1,4 +1,4 @@
-/** Why and until when a team's statement is refused. */
+/** Builds the refusal of a team's statement: its reason and retry delay. */
 
 import type {SyncSchedule} from './sync-schedule.js';
 import type {TeamHolder} from './team-holder.js';
@@ -7,36 +7,44 @@
 
 const MIN_RETRY_MS = 1;
 const MAX_RETRY_MS = 60_000;
-/** When to come back to a node that may not spend. */
-const NO_STANDING_RETRY_MS = 1_000;
+/** Retry delay at a node that may not spend. */
+const MAY_NOT_SPEND_RETRY_MS = 1_000;
 
-/** What a node knows of a budget when it refuses a statement. */
-export interface RefusalFacts {
+/** The state of a budget at a node that refuses a statement. */
+export interface RefusalContext {
   readonly maySpend: boolean;
   readonly limits: BudgetLimits;
-  /** The ledger, if this node owns the budget. */
+  /** The owner's side, if this node owns the budget. */
   readonly owner: TeamOwner | undefined;
   readonly holder: TeamHolder;
   readonly schedule: SyncSchedule;
 }
 
 /**
- * Only an owner, or a node that it answered, knows that a team is over its
- * rate; any other refuses as `unavailable`.
+ * Creates a refusal. Only the owner, or a holder that it answered, can tell that
+ * a team is over its rate; any other node refuses as `unavailable`.
  */
-export function createRefusal(facts: RefusalFacts): Admission {
-  const {limits, maySpend, owner, schedule} = facts;
-  if (!maySpend) return refusal('unavailable', NO_STANDING_RETRY_MS);
+export function createRefusal(context: RefusalContext): Admission {
+  const {limits, maySpend, owner, schedule} = context;
+  if (!maySpend) return refusal('unavailable', MAY_NOT_SPEND_RETRY_MS);
   if (limits.burst < 1) return refusal('overRate', MAX_RETRY_MS);
-  const dueMs = msUntilToken(facts);
+  const dueMs = msUntilToken(context);
   const boundedMs = Math.min(MAX_RETRY_MS, Math.max(MIN_RETRY_MS, dueMs));
-  const isKnown = owner !== undefined || schedule.isAnswered;
-  return refusal(isKnown ? 'overRate' : 'unavailable', Math.ceil(boundedMs));
+  const isConfirmed = owner !== undefined || schedule.hasOwnerAnswered;
+  return refusal(
+    isConfirmed ? 'overRate' : 'unavailable',
+    Math.ceil(boundedMs),
+  );
 }
 
-function msUntilToken({owner, holder, limits, schedule}: RefusalFacts): number {
+function msUntilToken({
+  owner,
+  holder,
+  limits,
+  schedule,
+}: RefusalContext): number {
   if (owner === undefined) {
-    return Math.min(holder.msUntilToken(), schedule.msUntilOwnerHasToken());
+    return Math.min(holder.msUntilToken(), schedule.msUntilTokenExpected());
   }
   const poolMs = owner.msUntilToken();
   return poolMs === Infinity ? 1_000 / limits.rate : poolMs;
--- a/src/admission/budget-service.ts
+++ b/src/admission/budget-service.ts
@@ -1,4 +1,4 @@
-/** Admits statements within the rate and burst of their teams. */
+/** Admission control: admits statements within their teams' rate and burst. */
 
 import {BudgetRecords} from './budget-record.js';
 import {RetirementTimers} from './retirement-timers.js';
@@ -19,8 +19,8 @@
 /**
  * The budgets of all teams at this node.
  *
- * Over every window, the statements of a team that all nodes admit together
- * are at most its rate times the window, and its burst.
+ * Conservation invariant: in any time window, all nodes together admit at most
+ * `rate * window + burst` statements of a team.
  *
  * @example
  * const budgets = new BudgetService({self, clock, random, store, peers, standing, config});
@@ -30,9 +30,9 @@
 export class BudgetService {
   readonly #deps: Omit<TeamBudgetDeps, 'team'>;
   readonly #teams = new Map<string, TeamBudget>();
-  readonly #watch: RetirementWatch;
+  readonly #retirementWatch: RetirementWatch;
   #running: AbortController | undefined;
-  readonly #prepared = new Set<string>();
+  readonly #ensuredTeams = new Set<string>();
   #isLeaving = false;
   #seq = 0;
 
@@ -53,7 +53,7 @@
       openedEpochs: new Map(),
       nextSeq: () => ++this.#seq,
     };
-    this.#watch = new RetirementWatch({
+    this.#retirementWatch = new RetirementWatch({
       self: self.instance,
       guard,
       peers,
@@ -63,7 +63,8 @@
   }
 
   /**
-   * Decides on one statement; waits only for tokens that may be had at once.
+   * Decides on one statement. Waits for tokens only as long as a request to
+   * other nodes takes, never for tokens to accrue.
    *
    * @example
    * const res = await budgets.admit('assessors', clock.now() + 500);
@@ -76,31 +77,33 @@
   }
 
   /**
-   * Sees to it that the budgets of these teams have an owner before the store
-   * may fail. Meant for the teams whose first choice is this node.
+   * Claims the budgets of these teams that have no owner, so that each has one
+   * before the store can fail. Call it for the teams for which this node ranks
+   * first.
    */
   async prepare(teams: readonly string[]): Promise<void> {
-    const fresh = teams.filter(team => !this.#prepared.has(team));
-    await Promise.all(fresh.map(team => this.#prepareOne(team)));
+    const pending = teams.filter(team => !this.#ensuredTeams.has(team));
+    await Promise.all(pending.map(team => this.#ensureOwner(team)));
   }
 
   /**
-   * Keeps a reserve of exactly these teams' budgets, as far as their owners
-   * want it, so that most of a budget outlives its owner. Meant for the teams
-   * for which this node is among the first choices.
+   * Makes this node a standby for exactly these teams. A standby keeps a reserve
+   * of a budget, if the owner grants one, so that most of the budget stays
+   * usable when the owner fails. Call it for the teams for which this node is
+   * among the best-ranked.
    */
   standBy(teams: readonly string[]): void {
-    const chosen = new Set(teams);
+    const selected = new Set(teams);
     for (const [team, budget] of this.#teams) {
-      if (!chosen.has(team)) budget.standBy(false);
+      if (!selected.has(team)) budget.setStandby(false);
     }
-    for (const team of chosen) this.#budgetOf(team).standBy(true);
+    for (const team of selected) this.#budgetOf(team).setStandby(true);
   }
 
-  async #prepareOne(team: string): Promise<void> {
-    this.#prepared.add(team);
-    const isOwned = await this.#budgetOf(team).prepare();
-    if (!isOwned) this.#prepared.delete(team);
+  async #ensureOwner(team: string): Promise<void> {
+    this.#ensuredTeams.add(team);
+    const isOwned = await this.#budgetOf(team).ensureOwner();
+    if (!isOwned) this.#ensuredTeams.delete(team);
   }
 
   /** Serves the peer method `budget`. */
@@ -109,22 +112,22 @@
     return this.#budgetOf(message.team).handle(message);
   }
 
-  /** Begins to keep shares in step with demand. */
+  /** Starts the periodic syncs that adapt shares to demand. */
   start(): void {
     if (this.#running !== undefined) return;
     this.#running = new AbortController();
     void this.#run(this.#running.signal);
   }
 
-  /** Hands all shares back, and ownerships on. */
+  /** Returns all shares and transfers all ownerships. */
   async stop(): Promise<void> {
     this.#running?.abort();
     this.#running = undefined;
     this.#isLeaving = true;
-    await Promise.all([...this.#teams.values()].map(one => one.leave()));
+    await Promise.all([...this.#teams.values()].map(budget => budget.leave()));
   }
 
-  /** The budgets in use at this node. */
+  /** Returns the status of each budget in use at this node. */
   status(): readonly BudgetStatus[] {
     return [...this.#teams.values()].map(budget => budget.status());
   }
@@ -142,24 +145,24 @@
     await clock.sleep(random.next() * TICK_MS, signal);
     for (let tick = 1; !signal.aborted; tick++) {
       this.#tick();
-      if (tick % WATCH_EVERY_TICKS === 0) this.#checkDependencies();
+      if (tick % WATCH_EVERY_TICKS === 0) this.#checkRetirements();
       await clock.sleep(TICK_MS, signal);
     }
   }
 
   #tick(): void {
-    this.#deps.retirements.check();
+    this.#deps.retirements.resetIfCutOff();
     for (const [team, budget] of this.#teams) {
       if (budget.isIdle) this.#teams.delete(team);
       else void budget.tick();
     }
   }
 
-  #checkDependencies(): void {
-    const dependsOn = new Set<string>();
+  #checkRetirements(): void {
+    const dependencies = new Set<string>();
     for (const budget of this.#teams.values()) {
-      for (const instance of budget.dependsOn) dependsOn.add(instance);
+      for (const instance of budget.dependencies) dependencies.add(instance);
     }
-    void this.#watch.check(dependsOn);
+    void this.#retirementWatch.check(dependencies);
   }
 }
--- a/src/admission/concurrency-limit.ts
+++ b/src/admission/concurrency-limit.ts
@@ -1,24 +1,25 @@
-/** Limits how much work runs on a database at the same time. */
+/** Limits how many statements run on a database concurrently. */
 
 /**
- * How many statements more than its slots a database is given, so that the
- * next one is there when a slot falls free.
+ * Statements sent to a database beyond its slots. They queue there, so that a
+ * slot that becomes free has its next statement without a round trip.
  */
-const EXTRA_STATEMENTS = 1;
+const QUEUED_AT_DATABASE = 1;
 
-/** What a limit is built from; both may change while it is in use. */
+/** Options of a concurrency limit; both values may change while in use. */
 export interface ConcurrencyLimitOptions {
-  /** Statements that the database executes at once. */
+  /** Returns how many statements the database executes concurrently. */
   readonly slots: () => number;
-  /** Connections to the database that this node may use. */
+  /** Returns how many connections to the database this node may use. */
   readonly connections: () => number;
 }
 
 /**
- * The slots and one more, as far as there are connections.
+ * The concurrency limit of a database: its slots plus one, but no more than the
+ * connections.
  *
- * A statement beyond that waits at the database, where urgent ones can't go
- * before it.
+ * Further statements wait in the proxy's queue instead of at the database, where
+ * an urgent one could not overtake them.
  *
  * @example
  * const limit = new ConcurrencyLimit({slots: () => 2, connections: () => 16});
@@ -31,9 +32,9 @@
     this.#options = options;
   }
 
-  /** How many statements may run at the same time. */
+  /** How many statements may run concurrently. */
   get value(): number {
-    const wanted = this.#options.slots() + EXTRA_STATEMENTS;
+    const wanted = this.#options.slots() + QUEUED_AT_DATABASE;
     return Math.max(0, Math.min(wanted, this.#options.connections()));
   }
 }
--- a/src/admission/demand-meter.ts
+++ b/src/admission/demand-meter.ts
@@ -1,11 +1,11 @@
-/** Estimates how many statements a second callers offer. */
+/** Estimates how many statements a second callers send. */
 
 import type {Clock} from '../infra/clock.js';
 
 const WINDOW_MS = 1_000;
 
 /**
- * An exponentially weighted rate of events.
+ * An exponentially weighted moving rate of events.
  *
  * @example
  * const meter = new DemandMeter(clock);
@@ -23,13 +23,13 @@
     this.#updatedAtMs = clock.now();
   }
 
-  /** Events a second, the last second weighing most. */
+  /** Events a second, with the most recent ones weighted most. */
   get perSecond(): number {
     this.#decay();
     return this.#perSecond;
   }
 
-  /** How long ago the last event was. */
+  /** Milliseconds since the last event; infinite before the first. */
   get idleMs(): number {
     return this.#clock.now() - this.#lastEventAtMs;
   }
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -1,45 +1,48 @@
-/** The queue in front of a database group: urgency, fairness, deadlines. */
+/** A queue with priority classes, fairness between teams, and deadlines. */
 
 import type {Clock} from '../infra/clock.js';
 import {TeamQueues} from './team-queues.js';
 
-/** Urgent work goes before ordinary work. */
+/** The priority class of an item; urgent items go first. */
 export type WorkClass = 'urgent' | 'ordinary';
 
-/** While ordinary work waits it gets at least one dispatch in this many. */
-export const ORDINARY_EVERY = 8;
+/**
+ * While ordinary items wait, at least one dispatch in this many is ordinary, so
+ * that urgent ones can't starve them.
+ */
+export const ORDINARY_DISPATCH_INTERVAL = 8;
 
-/** What the queue must know of an item. */
+/** The attributes of an item by which the queue schedules it. */
 export interface WorkOrder {
   readonly team: string;
   readonly class: WorkClass;
   /** Monotonic time at which the caller gives up. */
   readonly deadlineMs: number;
-  /** Expected time of the item on one connection. */
+  /** Expected time for which the item occupies a connection. */
   readonly costMs: number;
 }
 
-/** Whether an item was queued. */
+/** The result of offering an item. */
 export type OfferResult =
   | {readonly kind: 'queued'; readonly expectedWaitMs: number}
   | {readonly kind: 'refused'; readonly retryAfterMs: number};
 
-/** An item to run, or one whose deadline passed before it could run. */
+/** An item taken from the queue: to run, or expired while it waited. */
 export type Taken<T> =
   | {readonly kind: 'run'; readonly item: T}
   | {readonly kind: 'expired'; readonly item: T};
 
-/** What a queue is built from. */
+/** Options of a fair queue. */
 export interface FairQueueOptions {
   readonly clock: Clock;
-  /** A team's weight, such as its rate; at least a little above zero. */
+  /** Returns a team's weight, such as its rate; it should be above zero. */
   readonly weightOf: (team: string) => number;
-  /** How many items run at the same time. */
+  /** Returns how many items run concurrently. */
   readonly concurrency: () => number;
 }
 
 /**
- * Orders work by class, then by start-time fair queueing between teams.
+ * Orders items by class, then between teams by start-time fair queueing (SFQ).
  *
  * @example
  * const queue = new FairQueue<Job>({clock, weightOf, concurrency: () => 2});
@@ -59,12 +62,12 @@
     };
   }
 
-  /** The number of queued items, expired ones included until taken. */
+  /** The number of queued items, including expired ones not yet taken. */
   get size(): number {
     return this.#classes.urgent.size + this.#classes.ordinary.size;
   }
 
-  /** How long the oldest item has waited; 0 when the queue is empty. */
+  /** Time for which the oldest item has waited; 0 if the queue is empty. */
   get oldestAgeMs(): number {
     const oldestMs = Math.min(
       this.#classes.urgent.oldestQueuedAtMs,
@@ -73,7 +76,7 @@
     return oldestMs === Infinity ? 0 : this.#options.clock.now() - oldestMs;
   }
 
-  /** The earliest deadline in the queue; infinite when it is empty. */
+  /** A lower bound of the queued deadlines; infinite if the queue is empty. */
   get nextExpiryMs(): number {
     return Math.min(
       this.#classes.urgent.nextExpiryMs,
@@ -82,7 +85,7 @@
   }
 
   /**
-   * Queues an item, or refuses it at once if it can't meet its deadline.
+   * Queues an item, or refuses it if it would not meet its deadline.
    *
    * @example
    * queue.offer(job, {team, class: 'ordinary', deadlineMs: now + 500, costMs: 4});
@@ -98,7 +101,7 @@
     return {kind: 'queued', expectedWaitMs};
   }
 
-  /** The next item: an expired one first, else the one whose turn it is. */
+  /** Takes an expired item if there is one, else the next item to run. */
   take(): Taken<T> | undefined {
     const expired = this.takeExpired();
     if (expired !== undefined) return {kind: 'expired', item: expired};
@@ -108,7 +111,7 @@
     return {kind: 'run', item};
   }
 
-  /** One item whose deadline has passed; for use while nothing may run. */
+  /** Takes an expired item only; for use while no item may run. */
   takeExpired(): T | undefined {
     const nowMs = this.#options.clock.now();
     return (
@@ -117,7 +120,7 @@
     );
   }
 
-  /** Removes an item whose caller left; false if it is not queued. */
+  /** Removes an item, e.g. one that was cancelled; false if it is not queued. */
   remove(item: T): boolean {
     return (
       this.#classes.urgent.remove(item) || this.#classes.ordinary.remove(item)
@@ -130,8 +133,8 @@
       this.#urgentInARow = 0;
       return 'urgent';
     }
-    const ordinaryDue = this.#urgentInARow >= ORDINARY_EVERY - 1;
-    if (urgent.size === 0 || ordinaryDue) {
+    const isOrdinaryDue = this.#urgentInARow >= ORDINARY_DISPATCH_INTERVAL - 1;
+    if (urgent.size === 0 || isOrdinaryDue) {
       this.#urgentInARow = 0;
       return 'ordinary';
     }
@@ -141,14 +144,20 @@
 
   #expectedWaitMs(order: WorkOrder): number {
     const {urgent, ordinary} = this.#classes;
-    const own = this.#classes[order.class].costAhead(order.team);
+    const sameClassMs = this.#classes[order.class].costAheadMs(order.team);
     const concurrency = Math.max(1, this.#options.concurrency());
+    // The dispatch interval bounds how much of the other class goes first.
     if (order.class === 'urgent') {
-      const guarded = Math.min(ordinary.cost, own / (ORDINARY_EVERY - 1));
-      return (own + guarded) / concurrency;
+      const ordinaryMs = Math.min(
+        ordinary.totalCostMs,
+        sameClassMs / (ORDINARY_DISPATCH_INTERVAL - 1),
+      );
+      return (sameClassMs + ordinaryMs) / concurrency;
     }
-    // The guard bounds how much urgent work can go first.
-    const first = Math.min(urgent.cost, (own + 1) * (ORDINARY_EVERY - 1));
-    return (own + first) / concurrency;
+    const urgentMs = Math.min(
+      urgent.totalCostMs,
+      (sameClassMs + 1) * (ORDINARY_DISPATCH_INTERVAL - 1),
+    );
+    return (sameClassMs + urgentMs) / concurrency;
   }
 }
--- a/src/admission/ledger.ts
+++ b/src/admission/ledger.ts
@@ -1,38 +1,38 @@
-/** Who holds which part of one budget. */
+/** The escrow ledger of one budget: which node holds which share. */
 
 import {
   addShares,
   includesShare,
-  isNoShare,
-  NO_SHARE,
+  isEmptyShare,
+  EMPTY_SHARE,
   subtractShares,
-  WHOLE,
+  WHOLE_SHARE,
 } from './share.js';
 import type {Share, SyncMessage} from './types.js';
 
 /** One holder in the ledger. */
 export interface LedgerEntry {
-  /** The most that the holder can hold. */
+  /** Upper bound of the holder's share. */
   readonly share: Share;
-  /** The sequence number of the last message counted. */
+  /** Sequence number of the last message applied. */
   readonly seq: number;
 }
 
-/** What a holder's message changed. */
+/** The outcome of applying a holder's message. */
 export type ReconcileResult =
-  | {readonly kind: 'counted'; readonly returned: Share}
-  /** An older message than one already counted. */
+  | {readonly kind: 'reconciled'; readonly returned: Share}
+  /** The message is older than one already applied. */
   | {readonly kind: 'stale'}
   /** The holder claims more than it can hold. */
   | {readonly kind: 'void'};
 
 /**
- * The owner's account of a budget: its own pool, an upper bound of what each
- * holder holds, and the part of which an earlier owner knew. The three always
- * add up to the whole.
+ * The owner's account of a budget. It consists of the pool that the owner keeps,
+ * an upper bound of each holder's share, and the unaccounted share, which
+ * holders of an earlier owner may still hold. These always add up to the whole.
  *
- * A holder's message makes the bound exact: whatever the bound exceeds it by
- * was returned, or granted in an answer that the holder no longer takes.
+ * A holder's message makes its bound exact. The difference was returned, or was
+ * granted in a reply that the holder no longer accepts.
  */
 export class Ledger {
   #pool: Share;
@@ -44,22 +44,22 @@
     this.#unaccounted = unaccounted;
   }
 
-  /** The ledger of a budget that nobody has held before. */
+  /** Creates the ledger of a new budget, all of it in the pool. */
   static createWhole(): Ledger {
-    return new Ledger(WHOLE, NO_SHARE);
+    return new Ledger(WHOLE_SHARE, EMPTY_SHARE);
   }
 
-  /** The ledger of a budget whose shares an earlier owner granted. */
+  /** Creates the ledger of a budget whose shares an earlier owner granted. */
   static createUnaccounted(): Ledger {
-    return new Ledger(NO_SHARE, WHOLE);
+    return new Ledger(EMPTY_SHARE, WHOLE_SHARE);
   }
 
-  /** What the owner itself has. */
+  /** The share that is not granted to any holder. */
   get pool(): Share {
     return this.#pool;
   }
 
-  /** What holders of an earlier owner may still hold. */
+  /** The share that holders of an earlier owner may still hold. */
   get unaccounted(): Share {
     return this.#unaccounted;
   }
@@ -69,43 +69,46 @@
   }
 
   shareOf(holder: string): Share {
-    return this.#entries.get(holder)?.share ?? NO_SHARE;
+    return this.#entries.get(holder)?.share ?? EMPTY_SHARE;
   }
 
-  /** Counts a holder's message, adopting what an earlier owner granted. */
+  /**
+   * Applies a holder's message. A share that an earlier owner granted is
+   * adopted: it moves from the unaccounted share to the holder's entry.
+   */
   reconcile(sync: SyncMessage, epoch: number): ReconcileResult {
     const entry = this.#entries.get(sync.holder);
     if (entry !== undefined && sync.seq <= entry.seq) return {kind: 'stale'};
     if (entry !== undefined && includesShare(entry.share, sync.held)) {
       const returned = subtractShares(entry.share, sync.held);
       this.#pool = addShares(this.#pool, returned);
-      this.#set(sync);
-      return {kind: 'counted', returned};
+      this.#setEntry(sync);
+      return {kind: 'reconciled', returned};
     }
-    if (isNoShare(sync.held)) {
-      this.#set(sync);
-      return {kind: 'counted', returned: NO_SHARE};
+    if (isEmptyShare(sync.held)) {
+      this.#setEntry(sync);
+      return {kind: 'reconciled', returned: EMPTY_SHARE};
     }
-    const isAdoption = entry === undefined || isNoShare(entry.share);
+    const isAdoption = entry === undefined || isEmptyShare(entry.share);
     const isOlder = sync.heldEpoch < epoch;
     if (!isAdoption || !isOlder) return {kind: 'void'};
     if (!includesShare(this.#unaccounted, sync.held)) return {kind: 'void'};
     this.#unaccounted = subtractShares(this.#unaccounted, sync.held);
-    this.#set(sync);
-    return {kind: 'counted', returned: NO_SHARE};
+    this.#setEntry(sync);
+    return {kind: 'reconciled', returned: EMPTY_SHARE};
   }
 
-  /** Whether `seq` is the holder's last message. */
+  /** True if `seq` is the holder's last applied message. */
   isLatest(holder: string, seq: number): boolean {
     return this.#entries.get(holder)?.seq === seq;
   }
 
-  /** Moves a part of the pool to a holder, before the holder hears of it. */
+  /** Moves a part of the pool to a holder; call it before sending the grant. */
   grant(holder: string, share: Share): void {
     const entry = this.#entries.get(holder);
     if (entry === undefined || !includesShare(this.#pool, share)) {
       throw new Error(
-        `cannot grant ${holder} more than the pool; reconcile it first`,
+        `holder ${holder} is unknown or the pool too small; reconcile it first`,
       );
     }
     this.#pool = subtractShares(this.#pool, share);
@@ -113,27 +116,30 @@
     this.#entries.set(holder, {...entry, share: raised});
   }
 
-  /** Takes back what a holder held that can never spend again. */
+  /** Returns the share of a holder that can never spend again to the pool. */
   reclaim(holder: string): void {
     this.#pool = addShares(this.#pool, this.shareOf(holder));
     this.#entries.delete(holder);
   }
 
-  /** Takes over what the owner itself held of an earlier owner. */
-  absorb(share: Share): boolean {
+  /**
+   * Adopts the share that this node itself held under an earlier owner; false
+   * if it exceeds the unaccounted share.
+   */
+  adoptOwnShare(share: Share): boolean {
     if (!includesShare(this.#unaccounted, share)) return false;
     this.#unaccounted = subtractShares(this.#unaccounted, share);
     this.#pool = addShares(this.#pool, share);
     return true;
   }
 
-  /** Takes what no holder can hold any longer into the pool. */
-  closeAdoption(): void {
+  /** Moves the unaccounted share, which no node can hold any more, to the pool. */
+  reclaimUnaccounted(): void {
     this.#pool = addShares(this.#pool, this.#unaccounted);
-    this.#unaccounted = NO_SHARE;
+    this.#unaccounted = EMPTY_SHARE;
   }
 
-  #set(sync: SyncMessage): void {
+  #setEntry(sync: SyncMessage): void {
     this.#entries.set(sync.holder, {share: sync.held, seq: sync.seq});
   }
 }
--- a/src/admission/owner-link.ts
+++ b/src/admission/owner-client.ts
@@ -1,19 +1,22 @@
-/** A holder's messages to the owner of a budget, one at a time. */
+/** Sends a holder's syncs to the owner of a budget, one at a time. */
 
 import type {Clock} from '../infra/clock.js';
 import type {Ownership} from './ownership.js';
-import type {Succession} from './succession.js';
+import type {RoleTransition} from './role-transition.js';
 import type {SyncSchedule} from './sync-schedule.js';
 import type {SyncContext, SyncPurpose, TeamHolder} from './team-holder.js';
 import type {BudgetPeers, BudgetReply, SyncMessage} from './types.js';
 
-/** How often a message follows a hint to another owner, or looks again. */
+/** Maximum attempts of one exchange, with redirects to another owner. */
 const MAX_HOPS = 6;
-/** Nodes that take a new budget up agree within a few store calls. */
-const LOOK_AGAIN_MS = 30;
+/**
+ * Wait before the record is read again while it names no owner that can be
+ * reached. Nodes that claim a new budget at once agree within a few store calls.
+ */
+const RECORD_RETRY_MS = 30;
 
-/** What the link is built from. */
-export interface OwnerLinkDeps {
+/** Dependencies of the owner client. */
+export interface OwnerClientDeps {
   readonly self: string;
   readonly clock: Clock;
   readonly peers: BudgetPeers;
@@ -21,29 +24,29 @@
   readonly holder: TeamHolder;
   readonly schedule: SyncSchedule;
   readonly context: (purpose: SyncPurpose) => SyncContext;
-  readonly succession: Succession;
+  readonly roleTransition: RoleTransition;
 }
 
-/** Finds the owner, writes to it and takes in what it answers. */
-export class OwnerLink {
-  readonly #deps: OwnerLinkDeps;
+/** Resolves the owner, sends it a sync and applies its reply. */
+export class OwnerClient {
+  readonly #deps: OwnerClientDeps;
   #syncing: Promise<void> | undefined;
 
-  constructor(deps: OwnerLinkDeps) {
+  constructor(deps: OwnerClientDeps) {
     this.#deps = deps;
   }
 
-  /** Whether a message is under way. */
-  get isBusy(): boolean {
+  /** True while a sync is in flight. */
+  get isSyncing(): boolean {
     return this.#syncing !== undefined;
   }
 
-  /** Waits for the message under way, if there is one. */
-  async settled(): Promise<void> {
+  /** Waits for the sync in flight, if there is one. */
+  async waitForCurrentSync(): Promise<void> {
     await this.#syncing;
   }
 
-  /** Exchanges one message with the owner; calls join the one under way. */
+  /** Sends one sync to the owner, or joins the one in flight. */
   async sync(purpose: SyncPurpose, timeoutMs: number): Promise<void> {
     if (this.#syncing !== undefined) return this.#syncing;
     this.#syncing = this.#exchange(purpose, timeoutMs).finally(() => {
@@ -53,45 +56,49 @@
   }
 
   async #exchange(purpose: SyncPurpose, timeoutMs: number): Promise<void> {
-    const {clock, ownership, schedule, self, succession} = this.#deps;
+    const {clock, ownership, schedule, self, roleTransition} = this.#deps;
     let avoided: string | undefined;
     for (let hop = 0; hop < MAX_HOPS; hop++) {
-      const to = await ownership.locate();
+      const to = await ownership.resolveOwner();
       if (to === undefined || to === avoided) {
         avoided = undefined;
-        await clock.sleep(LOOK_AGAIN_MS);
+        await clock.sleep(RECORD_RETRY_MS);
         await ownership.reloadNow();
         continue;
       }
       if (to === self) {
-        if (await succession.becomeOwner()) return;
+        if (await roleTransition.becomeOwner()) return;
         ownership.avoid(self);
         avoided = self;
         continue;
       }
-      const sent = this.#proved(purpose);
+      const sent = this.#purposeToSend(purpose);
       const reply = await this.#call(to, sent, timeoutMs);
       if (reply?.kind === 'granted' && sent !== purpose) continue;
       if (reply?.kind === 'busy') ownership.avoid(to);
-      if (reply === undefined && !ownership.isSettled) {
-        // It was asked as the first choice; the next one may take the budget.
+      if (reply === undefined && !ownership.hasValidOwner) {
+        // It was the preferred node; the next one may claim the budget.
         avoided = to;
         continue;
       }
       if (reply?.kind !== 'notOwner') return;
-      // Without the store, another node may still know the owner.
+      // Another node may know the owner even if this one can't reach the store.
       if (reply.owner === undefined) ownership.avoid(to);
       avoided = to;
     }
     schedule.failed();
   }
 
-  /** An owner that may be gone is first asked whether it is there. */
-  #proved(purpose: SyncPurpose): SyncPurpose {
+  /**
+   * Replaces a sync that returns a share by a probe, unless the owner answered
+   * recently: a share returned to an owner that is gone would be lost.
+   */
+  #purposeToSend(purpose: SyncPurpose): SyncPurpose {
     const {holder, schedule} = this.#deps;
-    if (purpose === 'ask' || schedule.isOwnerFresh) return purpose;
-    const givesUp = purpose === 'release' || holder.hasExcess;
-    return givesUp ? 'check' : purpose;
+    if (purpose === 'acquire' || schedule.hasOwnerAnsweredRecently)
+      return purpose;
+    const returnsShare = purpose === 'release' || holder.hasExcess;
+    return returnsShare ? 'probe' : purpose;
   }
 
   async #call(
@@ -104,7 +111,7 @@
     schedule.sent(message.demand);
     try {
       const reply = await peers.call(to, message, timeoutMs);
-      this.#settle(message, reply);
+      this.#applyReply(message, reply);
       return reply;
     } catch {
       schedule.failed();
@@ -112,25 +119,25 @@
       void ownership.reload();
       return undefined;
     } finally {
-      holder.giveUp(message.seq);
+      holder.cancelSync(message.seq);
     }
   }
 
-  #settle(message: SyncMessage, reply: BudgetReply): void {
-    const {holder, ownership, schedule, succession} = this.#deps;
+  #applyReply(message: SyncMessage, reply: BudgetReply): void {
+    const {holder, ownership, schedule, roleTransition} = this.#deps;
     switch (reply.kind) {
       case 'granted':
-        succession.learn(reply.epoch, reply.owner);
-        if (!holder.accept(reply, ownership.epoch)) return;
+        roleTransition.observeOwner(reply.epoch, reply.owner);
+        if (!holder.acceptGrant(reply, ownership.epoch)) return;
         schedule.answered(reply.askAgainMs, reply.retryAfterMs);
         return;
       case 'void':
         if (reply.epoch < ownership.epoch) return;
-        succession.learn(reply.epoch, reply.owner);
+        roleTransition.observeOwner(reply.epoch, reply.owner);
         if (message.heldEpoch <= reply.epoch) holder.clear();
         return;
       case 'notOwner':
-        succession.learn(reply.epoch, reply.owner);
+        roleTransition.observeOwner(reply.epoch, reply.owner);
         return;
       default:
         schedule.failed();
--- a/src/admission/owner-role.ts
+++ b/src/admission/owner-role.ts
@@ -1,4 +1,4 @@
-/** The owner's role at this node, while it owns a team's budget. */
+/** Manages the owner's side of a team's budget while this node owns it. */
 
 import type {Clock} from '../infra/clock.js';
 import type {BudgetRecord} from './budget-record.js';
@@ -10,12 +10,12 @@
 import type {BudgetLimits, BudgetPeers, Share} from './types.js';
 
 /** A share and the tokens in it. */
-export interface Holding {
+export interface ShareSnapshot {
   readonly share: Share;
   readonly tokens: number;
 }
 
-/** What the role is built from. */
+/** Dependencies of the owner role. */
 export interface OwnerRoleDeps {
   readonly team: string;
   readonly self: string;
@@ -24,17 +24,17 @@
   readonly peers: BudgetPeers;
   readonly retirements: RetirementTimers;
   readonly ownership: Ownership;
-  /** The epoch that this process last opened as a team's owner. */
+  /** The last epoch that this process opened as the owner, by team. */
   readonly openedEpochs: Map<string, number>;
   readonly limits: () => BudgetLimits;
   readonly ownDemand: () => number;
 }
 
-/** Opens, keeps and closes the ledger of one team. */
+/** Opens, maintains and closes the ledger of one team. */
 export class OwnerRole {
   readonly #deps: OwnerRoleDeps;
   #owner: TeamOwner | undefined;
-  /** Earlier owners whose grants may not all be accounted for. */
+  /** Earlier owners whose grants this ledger may not know of. */
   #predecessors: readonly string[] = [];
 
   constructor(deps: OwnerRoleDeps) {
@@ -50,16 +50,17 @@
     return this.#owner?.epoch ?? 0;
   }
 
-  /** The instances whose retirement the ledger waits for or may need. */
-  get dependsOn(): readonly string[] {
+  /** The instances whose retirement lets the ledger reclaim shares. */
+  get dependencies(): readonly string[] {
     return [...(this.#owner?.holders ?? []), ...this.#predecessors];
   }
 
   /**
-   * Opens the ledger of a record that names this node; an epoch is opened once,
-   * or its tokens would be credited again. Takes over what `release` returns.
+   * Opens the ledger for a record that names this node as the owner, and moves
+   * the share that `release` returns into it. An epoch is opened only once, as a
+   * second time would credit its tokens again. True if the ledger is open.
    */
-  open(record: BudgetRecord, release: () => Holding): boolean {
+  open(record: BudgetRecord, release: () => ShareSnapshot): boolean {
     const {openedEpochs, team, limits} = this.#deps;
     const lastEpoch = openedEpochs.get(team) ?? 0;
     if (record.epoch <= lastEpoch) return this.#owner !== undefined;
@@ -69,13 +70,13 @@
     const tokens = isNew ? limits().burst : 0;
     const held = release();
     this.#owner = new TeamOwner(this.#deps, record.epoch, ledger, tokens);
-    this.#owner.absorb(held.share, held.tokens);
+    this.#owner.adoptOwnShare(held.share, held.tokens);
     this.#predecessors = record.predecessors;
     return true;
   }
 
-  /** Ends the role; returns what this node goes on to hold. */
-  close(): Holding {
+  /** Closes the ledger; returns the pool, which this node keeps as a holder. */
+  close(): ShareSnapshot {
     const owner = this.#owner;
     if (owner === undefined) throw new Error('open a ledger before closing it');
     this.#owner = undefined;
@@ -83,27 +84,27 @@
     return owner.close();
   }
 
-  /** Takes back what is free by now, and asks silent holders for news. */
+  /** Reclaims shares that can't be spent any more, and requests reports. */
   async tick(): Promise<void> {
     const {guard, retirements, ownership} = this.#deps;
     const owner = this.#owner;
     if (owner === undefined || !guard.maySpend()) return;
     for (const holder of owner.holders) {
-      if (retirements.isSafe(holder)) owner.reclaim(holder);
+      if (retirements.isReclaimable(holder)) owner.reclaim(holder);
     }
-    if (this.#canCloseAdoption()) {
+    if (this.#canReclaimUnaccounted()) {
       this.#predecessors = [];
-      owner.closeAdoption();
-      await ownership.closePredecessors(owner.epoch);
+      owner.reclaimUnaccounted();
+      await ownership.clearPredecessors(owner.epoch);
     }
-    await owner.askForReports();
+    await owner.requestReports();
   }
 
-  #canCloseAdoption(): boolean {
-    // All are looked at, so that the time of each begins to count.
-    const areSafe = this.#predecessors.map(one =>
-      this.#deps.retirements.isSafe(one),
+  #canReclaimUnaccounted(): boolean {
+    // Checks all of them, as the first check of each starts its timer.
+    const results = this.#predecessors.map(instance =>
+      this.#deps.retirements.isReclaimable(instance),
     );
-    return areSafe.length > 0 && areSafe.every(isSafe => isSafe);
+    return results.length > 0 && results.every(isReclaimable => isReclaimable);
   }
 }
--- a/src/admission/ownership.ts
+++ b/src/admission/ownership.ts
@@ -1,4 +1,4 @@
-/** Finds, takes and hands on the ownership of one team's budget. */
+/** Resolves, claims and transfers the ownership of one team's budget. */
 
 import type {Clock} from '../infra/clock.js';
 import {AvoidedNodes} from './avoided-nodes.js';
@@ -10,13 +10,13 @@
 import type {SpendGuard} from './spend-guard.js';
 import type {BudgetPeers} from './types.js';
 
-/** Pause between two reads of a record that brought nothing new. */
+/** Minimum pause between two reads of the record. */
 const RELOAD_PAUSE_MS = 500;
 
-/** How long a node that did not answer is not asked to become the owner. */
-const AVOID_MS = 3_000;
+/** Time for which a node that did not answer is not asked to be the owner. */
+const UNRESPONSIVE_PAUSE_MS = 3_000;
 
-/** What ownership is built from. */
+/** Dependencies of ownership. */
 export interface OwnershipDeps {
   readonly team: string;
   readonly self: string;
@@ -26,7 +26,7 @@
   readonly records: BudgetRecords;
 }
 
-/** What this node knows of who owns a budget. */
+/** This node's view of who owns a budget. */
 export class Ownership {
   readonly #deps: OwnershipDeps;
   #record: BudgetRecord | undefined;
@@ -37,7 +37,7 @@
 
   constructor(deps: OwnershipDeps) {
     this.#deps = deps;
-    this.#avoided = new AvoidedNodes(deps.clock, AVOID_MS);
+    this.#avoided = new AvoidedNodes(deps.clock, UNRESPONSIVE_PAUSE_MS);
   }
 
   /** The highest epoch known; 0 before any. */
@@ -54,46 +54,46 @@
     return this.#record;
   }
 
-  /** Whether the owner known may still grant. */
-  get isSettled(): boolean {
+  /** True if an owner is known and has not been retired. */
+  get hasValidOwner(): boolean {
     const {owner} = this;
     return owner !== undefined && !this.#deps.guard.isRetired(owner);
   }
 
-  /** Takes in what another node says. */
-  learn(epoch: number, owner: string | undefined): void {
+  /** Applies the owner that another node reported, if its epoch is newer. */
+  observeOwner(epoch: number, owner: string | undefined): void {
     if (owner === undefined || epoch <= this.epoch) return;
     this.#record = {epoch, owner, predecessors: []};
   }
 
-  /** The node to ask: the owner, or the one that should become it. */
-  async locate(): Promise<string | undefined> {
-    if (!this.isSettled) await this.reload();
-    return this.isSettled ? this.owner : this.#firstChoice();
+  /** Returns the owner, or the node that should become it. */
+  async resolveOwner(): Promise<string | undefined> {
+    if (!this.hasValidOwner) await this.reload();
+    return this.hasValidOwner ? this.owner : this.#preferredNode();
   }
 
-  /** The nodes that may hold a share, those that are asked first at first. */
+  /** Returns the live nodes that are not retired, by rendezvous rank. */
   candidates(): readonly string[] {
     const {guard, peers, team} = this.#deps;
     return peers
       .homeOrder(budgetKey(team))
       .map(({instance}) => instance)
-      .filter(one => !guard.isRetired(one));
+      .filter(instance => !guard.isRetired(instance));
   }
 
-  /** Has another node asked where `instance` did not answer as the owner. */
+  /** Prefers other nodes to `instance` for a while, after it did not answer. */
   avoid(instance: string): void {
     this.#avoided.add(instance);
   }
 
-  /** Reads the record, but not again at once. */
+  /** Reads the record from the store, unless it was read recently. */
   async reload(): Promise<void> {
     const {nowMs} = this.#deps.guard;
     if (this.#loading === undefined && nowMs < this.#nextLoadAtMs) return;
     return this.reloadNow();
   }
 
-  /** Reads the record, even if it was read a moment ago. */
+  /** Reads the record from the store, even if it was read recently. */
   async reloadNow(): Promise<void> {
     this.#loading ??= this.#load().finally(() => {
       this.#loading = undefined;
@@ -102,7 +102,7 @@
     return this.#loading;
   }
 
-  /** Takes an ownership that is vacant; whether this node then has it. */
+  /** Claims the ownership if it is vacant; true if this node then has it. */
   async claim(): Promise<boolean> {
     this.#claiming ??= this.#claim().finally(() => {
       this.#claiming = undefined;
@@ -110,50 +110,52 @@
     return this.#claiming;
   }
 
-  /** The node that should own the budget once this one leaves. */
+  /** Returns the node that should own the budget once this one leaves. */
   successor(): string | undefined {
-    return this.#firstChoice(this.#deps.self);
+    return this.#preferredNode(this.#deps.self);
   }
 
-  /** Names `next` as the owner of the next epoch; false if that failed. */
-  async handOn(next: string): Promise<boolean> {
+  /** Records `next` as the owner of the next epoch; false if that failed. */
+  async transferTo(next: string): Promise<boolean> {
     const {team, self, records} = this.#deps;
     try {
       const loaded = await records.load(team);
       if (loaded?.record.owner !== self) return false;
       const {epoch, predecessors} = loaded.record;
-      const stands = await records.replace(team, loaded.revision, {
+      const stored = await records.replace(team, loaded.revision, {
         epoch: epoch + 1,
         owner: next,
         predecessors: [...predecessors, self],
       });
-      this.#take(stands?.record);
+      this.#applyRecord(stored?.record);
       return this.owner === next;
     } catch {
       return false;
     }
   }
 
-  /** Records that no earlier owner's grant is unaccounted for. */
-  async closePredecessors(epoch: number): Promise<void> {
+  /** Removes the predecessors from the record, once their grants are known. */
+  async clearPredecessors(epoch: number): Promise<void> {
     const {team, self, records} = this.#deps;
     try {
       const loaded = await records.load(team);
       if (loaded === undefined) return;
       const {record, revision} = loaded;
       if (record.owner !== self || record.epoch !== epoch) return;
-      const closed = {...record, predecessors: []};
-      await records.replace(team, revision, closed);
+      const cleared = {...record, predecessors: []};
+      await records.replace(team, revision, cleared);
     } catch {
-      // A list that is too long only makes the next owner wait longer.
+      // Predecessors left in the record only make the next owner wait longer.
     }
   }
 
   async #load(): Promise<void> {
     try {
-      this.#take((await this.#deps.records.load(this.#deps.team))?.record);
+      this.#applyRecord(
+        (await this.#deps.records.load(this.#deps.team))?.record,
+      );
     } catch {
-      // Without the store the node goes on with what it knows.
+      // The store is unavailable: the record loaded last stays in use.
     }
   }
 
@@ -161,30 +163,30 @@
     const {team, self, guard, records} = this.#deps;
     try {
       const loaded = await records.load(team);
-      this.#take(loaded?.record);
+      this.#applyRecord(loaded?.record);
       if (loaded?.record.owner === self) return true;
       if (loaded !== undefined && !guard.isRetired(loaded.record.owner)) {
         return false;
       }
       if (!guard.maySpend()) return false;
       const record = nextRecord(loaded?.record, self);
-      const stands = await records.replace(team, loaded?.revision ?? 0, record);
-      this.#take(stands?.record);
+      const stored = await records.replace(team, loaded?.revision ?? 0, record);
+      this.#applyRecord(stored?.record);
     } catch {
-      // A lost answer is settled by the next read: it names this instance.
+      // If only the reply was lost, the next read finds this node as the owner.
       return false;
     }
     return this.owner === self;
   }
 
-  #take(record: BudgetRecord | undefined): void {
+  #applyRecord(record: BudgetRecord | undefined): void {
     if (record === undefined || record.epoch < this.epoch) return;
     this.#record = record;
   }
 
-  #firstChoice(except?: string): string | undefined {
-    const fit = this.candidates().filter(one => one !== except);
-    return fit.find(one => !this.#avoided.has(one)) ?? fit[0];
+  #preferredNode(except?: string): string | undefined {
+    const eligible = this.candidates().filter(id => id !== except);
+    return eligible.find(id => !this.#avoided.has(id)) ?? eligible[0];
   }
 }
 
--- a/src/admission/recalls.ts
+++ b/src/admission/recalls.ts
@@ -1,10 +1,10 @@
-/** How an owner gets tokens and news from the holders of a budget. */
+/** Recalls tokens, and requests reports, from the holders of a budget. */
 
 import type {Clock} from '../infra/clock.js';
 import {isOverloaded, OVERLOAD_PAUSE_MS} from './allocation.js';
 import type {DemandTable} from './demand-table.js';
 import type {Ledger} from './ledger.js';
-import {isNoShare, minShare, NO_SHARE} from './share.js';
+import {isEmptyShare, minShare, EMPTY_SHARE} from './share.js';
 import type {
   BudgetLimits,
   BudgetPeers,
@@ -16,15 +16,15 @@
 const RECALL_TIMEOUT_MS = 12;
 const REPORT_TIMEOUT_MS = 250;
 const MAX_RECALLS = 8;
-/** Pause after a round of recalls that brought too little. */
+/** Pause after a round of recalls that returned too few tokens. */
 const RECALL_PAUSE_MS = 25;
 const MIN_RECALLED_TOKENS = 2;
-/** A round brings tokens for this long ahead, so that rounds are few. */
-const RECALL_AHEAD_S = 0.1;
-/** A holder that was not heard of for this long is asked what it holds. */
+/** A round also recalls tokens for this much future demand, to save rounds. */
+const RECALL_PREFETCH_S = 0.1;
+/** A report is requested from a holder that has sent none for this long. */
 const REPORT_AFTER_MS = 10_000;
 
-/** What recalls are built from. */
+/** Dependencies of recalls. */
 export interface RecallsDeps {
   readonly team: string;
   readonly owner: string;
@@ -39,14 +39,14 @@
   readonly totalDemand: () => number;
   /** The share that a holder should have. */
   readonly targetOf: (holder: string) => Share;
-  /** Takes in what a holder says it holds now. */
+  /** Applies the sync that a holder replies with to the ledger. */
   readonly count: (sync: SyncMessage) => void;
 }
 
-/** Asks holders for tokens, one round at a time. */
+/** Sends recalls to holders, in one round at a time. */
 export class Recalls {
   readonly #deps: RecallsDeps;
-  readonly #askedAtMs = new Map<string, number>();
+  readonly #reportRequestedAtMs = new Map<string, number>();
   #round: Promise<void> | undefined;
   #nextRoundAtMs = -Infinity;
 
@@ -54,7 +54,10 @@
     this.#deps = deps;
   }
 
-  /** Asks the holders with most tokens to spare, unless there are `wanted`. */
+  /**
+   * Recalls tokens from the holders with most of them, unless the pool already
+   * has `wanted`.
+   */
   async collect(wanted: number, except?: string): Promise<void> {
     const {clock, tokens} = this.#deps;
     if (this.#round !== undefined) await this.#round;
@@ -65,15 +68,15 @@
     return this.#round;
   }
 
-  /** Asks holders not heard of for long what they hold. */
-  async askForReports(holders: readonly string[]): Promise<void> {
+  /** Requests reports from holders that have not sent one for long. */
+  async requestReports(holders: readonly string[]): Promise<void> {
     const nowMs = this.#deps.clock.now();
     const silent = holders.filter(holder => {
-      const heardAtMs = this.#deps.demands.heardAtMs(holder);
-      const askedAtMs = this.#askedAtMs.get(holder) ?? -Infinity;
-      return nowMs - Math.max(heardAtMs, askedAtMs) >= REPORT_AFTER_MS;
+      const reportedAtMs = this.#deps.demands.lastReportAtMs(holder);
+      const requestedAtMs = this.#reportRequestedAtMs.get(holder) ?? -Infinity;
+      return nowMs - Math.max(reportedAtMs, requestedAtMs) >= REPORT_AFTER_MS;
     });
-    for (const holder of silent) this.#askedAtMs.set(holder, nowMs);
+    for (const holder of silent) this.#reportRequestedAtMs.set(holder, nowMs);
     await Promise.all(
       silent.map(holder => this.#recall(holder, 0, REPORT_TIMEOUT_MS)),
     );
@@ -82,9 +85,9 @@
   async #runRound(wanted: number, except?: string): Promise<void> {
     const {clock, tokens, totalDemand} = this.#deps;
     const before = tokens();
-    const missing = wanted + totalDemand() * RECALL_AHEAD_S - before;
+    const missing = wanted + totalDemand() * RECALL_PREFETCH_S - before;
     await Promise.all(
-      this.#sources(except).map(holder =>
+      this.#holdersToRecall(except).map(holder =>
         this.#recall(holder, missing, RECALL_TIMEOUT_MS),
       ),
     );
@@ -95,14 +98,14 @@
     this.#nextRoundAtMs = clock.now() + pauseMs;
   }
 
-  #sources(except?: string): readonly string[] {
+  #holdersToRecall(except?: string): readonly string[] {
     const {ledger, demands} = this.#deps;
     const limits = this.#deps.limits();
     return [...ledger.entries]
       .filter(([holder, entry]) => holder !== except && entry.share.burst > 0)
       .map(([holder, entry]) => ({
         holder,
-        spare: demands.spareTokens(holder, entry.share, limits),
+        spare: demands.estimateTokens(holder, entry.share, limits),
       }))
       .sort((a, b) => b.spare - a.spare)
       .slice(0, MAX_RECALLS)
@@ -116,7 +119,7 @@
   ): Promise<void> {
     const {team, owner, epoch, peers, ledger} = this.#deps;
     const share = ledger.shareOf(holder);
-    const target = tokens > 0 ? this.#targetOf(holder, share) : share;
+    const target = tokens > 0 ? this.#recallTarget(holder, share) : share;
     const message: RecallMessage = {
       kind: 'recall',
       team,
@@ -129,13 +132,13 @@
       const reply = await peers.call(holder, message, timeoutMs);
       if (reply.kind === 'returned') this.#deps.count(reply.sync);
     } catch {
-      // The holder says at its next message what it holds.
+      // The holder's next sync reports what it holds.
     }
   }
 
-  /** Rate goes back too where a node should have less. */
-  #targetOf(holder: string, share: Share): Share {
+  /** Limits a holder's share to its target, so that it also returns rate. */
+  #recallTarget(holder: string, share: Share): Share {
     const target = this.#deps.targetOf(holder);
-    return isNoShare(target) ? NO_SHARE : minShare(share, target);
+    return isEmptyShare(target) ? EMPTY_SHARE : minShare(share, target);
   }
 }
--- a/src/admission/remote-spends.ts
+++ b/src/admission/remote-spends.ts
@@ -1,15 +1,15 @@
-/** Tokens that this node spends for statements of other nodes. */
+/** Tokens that this node spent for other nodes and that may still be in use. */
 
 import type {Clock} from '../infra/clock.js';
 
 /**
- * How long an answer to a `spend` message may be used, counted by the asker
- * from its question.
+ * Time for which the reply to a `spend` message is valid, measured by the
+ * requesting node from its request.
  */
 export const SPEND_VALID_MS = 100;
 
-/** Covers two clocks that run apart while an answer is on its way. */
-const CLOCK_MARGIN = 1.05;
+/** Covers the drift between the two nodes' clocks while a reply is in flight. */
+const CLOCK_DRIFT_MARGIN = 1.05;
 
 interface Spend {
   readonly count: number;
@@ -17,12 +17,13 @@
 }
 
 /**
- * Keeps count of the tokens spent whose statements may not be admitted yet.
+ * Counts tokens that were spent for other nodes, but whose statements may not be
+ * admitted yet.
  *
- * The bucket must keep room for them: if it filled up while they are on their
- * way, a window could admit them and a whole burst besides.
+ * The bucket must keep capacity free for them. If it refilled completely while
+ * they are in flight, one window could admit them and a full burst as well.
  */
-export class RemoteSpends {
+export class InFlightSpends {
   readonly #clock: Clock;
   #spends: readonly Spend[] = [];
 
@@ -30,22 +31,22 @@
     this.#clock = clock;
   }
 
-  /** Tokens whose statements may still be admitted elsewhere. */
-  get underWay(): number {
-    // Asked at each admission, and nearly always empty.
+  /** Tokens whose statements another node may still admit. */
+  get tokensInFlight(): number {
+    // Fast path: this runs at each admission, and there are rarely any.
     if (this.#spends.length === 0) return 0;
     const nowMs = this.#clock.now();
-    this.#spends = this.#spends.filter(one => nowMs < one.untilMs);
-    return this.#spends.reduce((sum, one) => sum + one.count, 0);
+    this.#spends = this.#spends.filter(spend => nowMs < spend.untilMs);
+    return this.#spends.reduce((sum, spend) => sum + spend.count, 0);
   }
 
-  note(count: number): void {
-    const untilMs = this.#clock.now() + SPEND_VALID_MS * CLOCK_MARGIN;
+  record(count: number): void {
+    const untilMs = this.#clock.now() + SPEND_VALID_MS * CLOCK_DRIFT_MARGIN;
     this.#spends = [...this.#spends, {count, untilMs}];
   }
 
-  /** Resolves once no statement is under way. */
-  async settled(): Promise<void> {
-    while (this.underWay > 0) await this.#clock.sleep(SPEND_VALID_MS);
+  /** Resolves once no token is in flight. */
+  async waitUntilSettled(): Promise<void> {
+    while (this.tokensInFlight > 0) await this.#clock.sleep(SPEND_VALID_MS);
   }
 }
--- a/src/admission/retirement-timers.ts
+++ b/src/admission/retirement-timers.ts
@@ -1,8 +1,11 @@
-/** Measures how long ago instances were retired. */
+/** Tracks for how long each instance has been retired. */
 
 import type {SpendGuard} from './spend-guard.js';
 
-/** When each retired instance was first seen so, on this node's clock. */
+/**
+ * Records when this node first saw each retirement, on its monotonic clock.
+ * Shares of a retired instance may be reclaimed after `reclaimDelayMs`.
+ */
 export class RetirementTimers {
   readonly #guard: SpendGuard;
   readonly #seenAtMs = new Map<string, number>();
@@ -11,20 +14,23 @@
     this.#guard = guard;
   }
 
-  /** Starts every measurement anew if this node was cut off meanwhile. */
-  check(): void {
+  /** Restarts every timer if this node is cut off. */
+  resetIfCutOff(): void {
     if (this.#guard.isCutOff) this.#seenAtMs.clear();
   }
 
-  /** Whether nobody uses any longer what `instance` held or granted. */
-  isSafe(instance: string): boolean {
+  /**
+   * True if no node can still spend a share that `instance` held or granted.
+   * The first call after a retirement starts its timer.
+   */
+  isReclaimable(instance: string): boolean {
     if (!this.#guard.isRetired(instance)) {
       this.#seenAtMs.delete(instance);
       return false;
     }
-    const {nowMs, safetyMs} = this.#guard;
+    const {nowMs, reclaimDelayMs} = this.#guard;
     const seenAtMs = this.#seenAtMs.get(instance) ?? nowMs;
     this.#seenAtMs.set(instance, seenAtMs);
-    return nowMs - seenAtMs >= safetyMs;
+    return nowMs - seenAtMs >= reclaimDelayMs;
   }
 }
--- a/src/admission/retirement-watch.ts
+++ b/src/admission/retirement-watch.ts
@@ -1,17 +1,17 @@
-/** Has instances retired that are gone while budgets depend on them. */
+/** Retires instances that have ended while budgets still depend on them. */
 
 import type {SpendGuard} from './spend-guard.js';
 import type {BudgetConfigPort, BudgetPeers, StandingPort} from './types.js';
 
-/** How long an instance must be missing from the live nodes. */
+/** Time for which an instance must be gone before it is retired. */
 const RETIRE_AFTER_MS = 3_000;
-/** How much longer each next node waits, so that one edit is enough. */
+/** Extra wait of each next-ranked node, so that usually only one edits. */
 const STAGGER_MS = 1_000;
 const MAX_STAGGER_MS = 5_000;
 const RETRY_MS = 2_000;
-const KEY_PREFIX = 'zinnia/retire/';
+const HASH_KEY_PREFIX = 'zinnia/retire/';
 
-/** What the watch is built from. */
+/** Dependencies of the retirement watch. */
 export interface RetirementWatchDeps {
   readonly self: string;
   readonly guard: SpendGuard;
@@ -20,49 +20,55 @@
   readonly config: BudgetConfigPort;
 }
 
-/** Follows the instances on which this node's budgets depend. */
+/** Watches the instances that this node's budgets depend on. */
 export class RetirementWatch {
   readonly #deps: RetirementWatchDeps;
   #goneSinceMs = new Map<string, number>();
-  readonly #triedAtMs = new Map<string, number>();
+  readonly #attemptedAtMs = new Map<string, number>();
 
   constructor(deps: RetirementWatchDeps) {
     this.#deps = deps;
   }
 
-  /** Looks for gone instances among `dependsOn`, and retires the long gone. */
-  async check(dependsOn: ReadonlySet<string>): Promise<void> {
+  /** Retires the `dependencies` that have been gone long enough. */
+  async check(dependencies: ReadonlySet<string>): Promise<void> {
     const {guard, peers, standing} = this.#deps;
     if (standing.standing() !== 'current') return this.#goneSinceMs.clear();
     const {nowMs} = guard;
-    const gone = [...dependsOn].filter(
+    const gone = [...dependencies].filter(
       instance => peers.isGone(instance) && !guard.isRetired(instance),
     );
     this.#goneSinceMs = new Map(
-      gone.map(one => [one, this.#goneSinceMs.get(one) ?? nowMs]),
+      gone.map(instance => [
+        instance,
+        this.#goneSinceMs.get(instance) ?? nowMs,
+      ]),
     );
     await Promise.all(
-      gone.filter(one => this.#isDue(one, nowMs)).map(one => this.#retire(one)),
+      gone
+        .filter(instance => this.#isDue(instance, nowMs))
+        .map(instance => this.#retire(instance)),
     );
   }
 
   #isDue(instance: string, nowMs: number): boolean {
     const {peers, self} = this.#deps;
-    const order = peers.homeOrder(KEY_PREFIX + instance);
+    const order = peers.homeOrder(HASH_KEY_PREFIX + instance);
     const rank = order.findIndex(node => node.instance === self);
     const staggerMs = Math.min(MAX_STAGGER_MS, Math.max(0, rank) * STAGGER_MS);
     const goneMs = nowMs - (this.#goneSinceMs.get(instance) ?? nowMs);
-    const triedMs = nowMs - (this.#triedAtMs.get(instance) ?? -Infinity);
-    return goneMs >= RETIRE_AFTER_MS + staggerMs && triedMs >= RETRY_MS;
+    const sinceAttemptMs =
+      nowMs - (this.#attemptedAtMs.get(instance) ?? -Infinity);
+    return goneMs >= RETIRE_AFTER_MS + staggerMs && sinceAttemptMs >= RETRY_MS;
   }
 
   async #retire(instance: string): Promise<void> {
-    this.#triedAtMs.set(instance, this.#deps.guard.nowMs);
+    this.#attemptedAtMs.set(instance, this.#deps.guard.nowMs);
     try {
       await this.#deps.config.retire(instance);
-      this.#triedAtMs.delete(instance);
+      this.#attemptedAtMs.delete(instance);
     } catch {
-      // Tried again later; until then the share stays where it is.
+      // Retried at a later check; until then nothing is reclaimed.
     }
   }
 }
--- a/src/admission/succession.ts
+++ b/src/admission/role-transition.ts
@@ -1,4 +1,4 @@
-/** How one team's budget passes from owner to owner at this node. */
+/** This node's transitions between owner and holder of one team's budget. */
 
 import type {OwnerRole} from './owner-role.js';
 import type {Ownership} from './ownership.js';
@@ -8,8 +8,8 @@
 
 const MOVED_TIMEOUT_MS = 250;
 
-/** What a succession is built from. */
-export interface SuccessionDeps {
+/** Dependencies of role transitions. */
+export interface RoleTransitionDeps {
   readonly team: string;
   /** This node's instance. */
   readonly self: string;
@@ -20,59 +20,62 @@
   readonly role: OwnerRole;
 }
 
-/** Moves this node between the owner's role and a holder's. */
-export class Succession {
-  readonly #deps: SuccessionDeps;
+/** Switches this node between the roles of owner and holder. */
+export class RoleTransition {
+  readonly #deps: RoleTransitionDeps;
   #isOpening = false;
 
-  constructor(deps: SuccessionDeps) {
+  constructor(deps: RoleTransitionDeps) {
     this.#deps = deps;
   }
 
-  /** Whether this node is about to put what it holds into a ledger. */
-  get isOpening(): boolean {
+  /** True while this node waits to move its own share into a new ledger. */
+  get isOpeningLedger(): boolean {
     return this.#isOpening;
   }
 
-  /** Takes the ownership if it is vacant or recorded as this node's. */
+  /**
+   * Takes over the ownership if it is vacant or already recorded for this node;
+   * true if this node owns the budget afterwards.
+   */
   async becomeOwner(): Promise<boolean> {
     const {guard, holder, ownership, role, self} = this.#deps;
     if (!guard.maySpend()) return false;
-    const isOurs = ownership.owner === self;
-    if (ownership.isSettled && !isOurs) return false;
+    const isSelfOwner = ownership.owner === self;
+    if (ownership.hasValidOwner && !isSelfOwner) return false;
     if (!(await ownership.claim())) return false;
-    // The ledger does not know of tokens that are spent and not yet used.
+    // The ledger does not account for tokens in flight to other nodes.
     this.#isOpening = true;
-    await holder.remoteSpendsSettled();
+    await holder.waitForRemoteSpends();
     this.#isOpening = false;
     const {record} = ownership;
     if (record?.owner !== self) return false;
     return role.open(record, () => holder.clear());
   }
 
-  /** Takes in who owns the budget, as another node says. */
-  learn(epoch: number, owner: string | undefined): void {
-    this.#deps.ownership.learn(epoch, owner);
-    this.stepDownIfSucceeded();
+  /** Applies the owner that another node reported. */
+  observeOwner(epoch: number, owner: string | undefined): void {
+    this.#deps.ownership.observeOwner(epoch, owner);
+    this.stepDownIfSuperseded();
   }
 
-  /** Goes on as a holder of the pool once another node owns the budget. */
-  stepDownIfSucceeded(): void {
+  /** Becomes a holder of its own pool once a later epoch has another owner. */
+  stepDownIfSuperseded(): void {
     const {holder, ownership, role, self} = this.#deps;
     const {epoch} = role;
     if (role.owner === undefined || ownership.epoch <= epoch) return;
     const {share, tokens} = role.close();
-    holder.hold(share, tokens, epoch, self);
+    holder.resumeAsHolder(share, tokens, epoch, self);
   }
 
-  /** Names the next owner before this node leaves, and tells the holders. */
-  async handOn(): Promise<void> {
+  /** Records the next owner before this node leaves, and notifies holders. */
+  async transferOwnership(): Promise<void> {
     const {ownership, peers, role, self, team} = this.#deps;
     const holders = role.owner?.holders;
     if (holders === undefined) return;
     const next = ownership.successor();
-    if (next === undefined || !(await ownership.handOn(next))) return;
-    this.stepDownIfSucceeded();
+    if (next === undefined || !(await ownership.transferTo(next))) return;
+    this.stepDownIfSuperseded();
     const {epoch} = ownership;
     const moved = {kind: 'moved', team, epoch, owner: next} as const;
     await Promise.allSettled(
--- a/src/admission/share.ts
+++ b/src/admission/share.ts
@@ -1,53 +1,53 @@
-/** Arithmetic of shares: whole units, so that sums are exact. */
+/** Arithmetic of shares, in integer units so that sums are exact. */
 
 import type {BudgetLimits, Share} from './types.js';
 import type {BucketSize} from './token-bucket.js';
 
-/** The units of a whole budget; a multiple of every number up to 16. */
+/** The units of a whole budget; divisible by every number up to 16. */
 export const WHOLE_UNITS = 720_720_000_000;
 
-/** All of a budget. */
-export const WHOLE: Share = {rate: WHOLE_UNITS, burst: WHOLE_UNITS};
+/** The share that is the whole budget. */
+export const WHOLE_SHARE: Share = {rate: WHOLE_UNITS, burst: WHOLE_UNITS};
 
-/** Nothing of a budget. */
-export const NO_SHARE: Share = {rate: 0, burst: 0};
+/** The share without any rate or burst. */
+export const EMPTY_SHARE: Share = {rate: 0, burst: 0};
 
-/** The sum of two shares. */
+/** Adds two shares. */
 export function addShares(a: Share, b: Share): Share {
   return {rate: a.rate + b.rate, burst: a.burst + b.burst};
 }
 
-/** What is left of `a` without `b`. */
+/** Subtracts share `b` from share `a`. */
 export function subtractShares(a: Share, b: Share): Share {
   return {rate: a.rate - b.rate, burst: a.burst - b.burst};
 }
 
-/** The smaller of two shares, for rate and burst each. */
+/** Returns the minimum of two shares, for rate and burst separately. */
 export function minShare(a: Share, b: Share): Share {
   return {rate: Math.min(a.rate, b.rate), burst: Math.min(a.burst, b.burst)};
 }
 
-/** The larger of two shares, for rate and burst each. */
+/** Returns the maximum of two shares, for rate and burst separately. */
 export function maxShare(a: Share, b: Share): Share {
   return {rate: Math.max(a.rate, b.rate), burst: Math.max(a.burst, b.burst)};
 }
 
-/** Whether `a` has at least the rate and the burst of `b`. */
+/** True if `a` has at least the rate and the burst of `b`. */
 export function includesShare(a: Share, b: Share): boolean {
   return a.rate >= b.rate && a.burst >= b.burst;
 }
 
-/** Whether a share is empty. */
-export function isNoShare(share: Share): boolean {
+/** True if a share has neither rate nor burst. */
+export function isEmptyShare(share: Share): boolean {
   return share.rate === 0 && share.burst === 0;
 }
 
-/** The tokens that a share of `units` of the burst can hold. */
+/** Returns how many tokens `units` of burst can hold. */
 export function tokensIn(units: number, limits: BudgetLimits): number {
   return (units * limits.burst) / WHOLE_UNITS;
 }
 
-/** The least units of the burst that can hold `tokens`. */
+/** Returns the minimum units of burst that can hold `tokens`. */
 export function unitsFor(tokens: number, limits: BudgetLimits): number {
   if (limits.burst <= 0) return 0;
   return Math.min(
@@ -57,10 +57,10 @@
 }
 
 /**
- * The bucket of a share.
+ * Returns the size of a share's token bucket.
  *
- * The rate is lowered by the clocks' possible error: a clock that runs fast
- * must not admit more than the rate in true time.
+ * The rate is lowered by the maximum clock error, so that a node whose clock
+ * runs fast does not admit more than the rate in real time.
  */
 export function bucketSizeOf(
   share: Share,
--- a/src/admission/spend-guard.ts
+++ b/src/admission/spend-guard.ts
@@ -1,27 +1,31 @@
-/** Decides, at each use, whether this node may still use what it holds. */
+/** Decides whether this node may still spend its share of a budget. */
 
 import type {Clock} from '../infra/clock.js';
 import type {BudgetConfigPort, BudgetOptions, StandingPort} from './types.js';
 
-/** Settings that hold unless others are given. */
+/** Default settings of the team budgets. */
 export const DEFAULT_BUDGET_OPTIONS: BudgetOptions = {
   standingLimitMs: 3_000,
   clockErrorRatio: 0.01,
 };
 
 /**
- * How many standing limits after a retirement a share is free: one until every
- * node knows or is cut off, and one in which holders move to the next owner.
+ * Standing limits from a retirement until its shares may be reclaimed: within
+ * the first, every node learns of the retirement or is cut off; within the
+ * second, holders move to the next owner.
  */
-const SAFETY_LIMITS = 2;
+const RECLAIM_DELAY_STANDING_LIMITS = 2;
 
 /**
- * The part of a standing limit for which a holder goes on without an owner.
- * The rest of the safety period covers the clocks' error.
+ * Part of a standing limit for which a holder may spend a share whose owner was
+ * retired. The rest of the second standing limit covers clock errors.
  */
-const ORPHAN_LIMITS = 0.9;
+const ORPHAN_GRACE_STANDING_LIMITS = 0.9;
 
-/** The rules on who may spend, re-checked at each use. */
+/**
+ * Evaluates standing and retirements on every call, so that a process that was
+ * paused does not spend on an outdated decision.
+ */
 export class SpendGuard {
   readonly #self: string;
   readonly #clock: Clock;
@@ -47,14 +51,17 @@
     return this.#options.clockErrorRatio;
   }
 
-  /** How long after a retirement nobody uses what its instance gave or held. */
-  get safetyMs(): number {
-    return SAFETY_LIMITS * this.#options.standingLimitMs;
+  /**
+   * Time after a retirement when no node can spend a share that the retired
+   * instance held or granted.
+   */
+  get reclaimDelayMs(): number {
+    return RECLAIM_DELAY_STANDING_LIMITS * this.#options.standingLimitMs;
   }
 
-  /** How long a share outlives the last proof that its owner was not retired. */
-  get orphanMs(): number {
-    return ORPHAN_LIMITS * this.#options.standingLimitMs;
+  /** Time for which a share outlives the last check that its owner was valid. */
+  get orphanGraceMs(): number {
+    return ORPHAN_GRACE_STANDING_LIMITS * this.#options.standingLimitMs;
   }
 
   get nowMs(): number {
@@ -65,7 +72,7 @@
     return this.#standing.standing() === 'cutOff';
   }
 
-  /** Whether this node may spend or grant at all. */
+  /** True if this node may spend or grant tokens. */
   maySpend(): boolean {
     return !this.isCutOff && !this.isRetired(this.#self);
   }
--- a/src/admission/team-budget.ts
+++ b/src/admission/team-budget.ts
@@ -1,20 +1,20 @@
-/** One team's budget as this node sees it: as a holder, and maybe the owner. */
+/** One team's budget at this node, as a holder of a share or as the owner. */
 
 import type {BudgetRecords} from './budget-record.js';
 import {createRefusal} from './budget-refusal.js';
 import {DemandMeter} from './demand-meter.js';
-import {OwnerLink} from './owner-link.js';
+import {OwnerClient} from './owner-client.js';
 import {OwnerRole} from './owner-role.js';
 import {Ownership} from './ownership.js';
 import type {RetirementTimers} from './retirement-timers.js';
 import {RemoteSpender} from './remote-spender.js';
-import {isNoShare} from './share.js';
+import {isEmptyShare} from './share.js';
 import type {SpendGuard} from './spend-guard.js';
-import {Succession} from './succession.js';
+import {RoleTransition} from './role-transition.js';
 import {SyncSchedule} from './sync-schedule.js';
 import {TeamHolder, type SyncContext, type SyncPurpose} from './team-holder.js';
 import type {TeamOwner} from './team-owner.js';
-import {TokenSupply} from './token-supply.js';
+import {TokenAcquirer} from './token-supply.js';
 import type {
   Admission,
   BudgetDeps,
@@ -26,25 +26,25 @@
 } from './types.js';
 
 const REPORT_TIMEOUT_MS = 250;
-/** How often a leaving node tries to hand its share back. */
-const MAX_LEAVE_ATTEMPTS = 5;
+/** Maximum attempts of a leaving node to return its share. */
+const MAX_RELEASE_ATTEMPTS = 5;
 
 const ADMITTED: Admission = {kind: 'admitted'};
 const NO_LIMITS: BudgetLimits = {rate: 0, burst: 0};
 
-/** What a team's budget is built from. */
+/** Dependencies of a team's budget. */
 export interface TeamBudgetDeps extends BudgetDeps {
   readonly team: string;
   readonly guard: SpendGuard;
   readonly records: BudgetRecords;
   readonly retirements: RetirementTimers;
-  /** The epoch that this process last opened as a team's owner. */
+  /** The last epoch that this process opened as the owner, by team. */
   readonly openedEpochs: Map<string, number>;
-  /** Sequence numbers that rise for as long as this process runs. */
+  /** Returns the next sequence number; they rise for the process's lifetime. */
   readonly nextSeq: () => number;
 }
 
-/** Admits one team's statements at this node. */
+/** Admits one team's statements at this node within the team's rate. */
 export class TeamBudget {
   readonly #deps: TeamBudgetDeps;
   readonly #meter: DemandMeter;
@@ -52,10 +52,10 @@
   readonly #holder: TeamHolder;
   readonly #schedule: SyncSchedule;
   readonly #role: OwnerRole;
-  readonly #succession: Succession;
-  readonly #link: OwnerLink;
-  readonly #supply: TokenSupply;
-  #calls = 0;
+  readonly #roleTransition: RoleTransition;
+  readonly #ownerClient: OwnerClient;
+  readonly #tokenAcquirer: TokenAcquirer;
+  #activeCalls = 0;
   #isStandby = false;
 
   constructor(deps: TeamBudgetDeps) {
@@ -80,7 +80,7 @@
       limits: () => this.#limits(),
       ownDemand: () => this.#meter.perSecond,
     });
-    this.#succession = new Succession({
+    this.#roleTransition = new RoleTransition({
       team,
       self,
       guard,
@@ -89,21 +89,21 @@
       holder: this.#holder,
       role: this.#role,
     });
-    this.#link = new OwnerLink({
+    this.#ownerClient = new OwnerClient({
       self,
       clock,
       peers,
       ownership: this.#ownership,
       holder: this.#holder,
       schedule: this.#schedule,
-      context: purpose => this.#context(purpose),
-      succession: this.#succession,
+      context: purpose => this.#syncContext(purpose),
+      roleTransition: this.#roleTransition,
     });
-    this.#supply = new TokenSupply({
+    this.#tokenAcquirer = new TokenAcquirer({
       clock,
       holder: this.#holder,
       schedule: this.#schedule,
-      link: this.#link,
+      ownerClient: this.#ownerClient,
       remoteSpender: new RemoteSpender({
         team,
         self,
@@ -115,22 +115,25 @@
     });
   }
 
-  /** Whether nothing would be lost by forgetting this budget. */
+  /** True if this object has no state that must be kept. */
   get isIdle(): boolean {
-    const isBusy = this.#calls > 0 || this.#link.isBusy;
+    const isBusy = this.#activeCalls > 0 || this.#ownerClient.isSyncing;
     if (isBusy || this.#owner !== undefined) return false;
-    if (!isNoShare(this.#holder.share) || this.#isStandby) return false;
+    if (!isEmptyShare(this.#holder.share) || this.#isStandby) return false;
     return this.#schedule.isIdle(this.#meter);
   }
 
-  /** The other instances on which this budget depends at this node. */
-  get dependsOn(): readonly string[] {
+  /**
+   * The other instances whose end affects this budget: its owner, the grantor of
+   * this node's share and, while this node owns it, holders and predecessors.
+   */
+  get dependencies(): readonly string[] {
     const {instance: self} = this.#deps.self;
     return [
-      ...this.#role.dependsOn,
+      ...this.#role.dependencies,
       this.#holder.grantor,
       this.#ownership.owner,
-    ].filter(one => one !== undefined && one !== self) as string[];
+    ].filter(id => id !== undefined && id !== self) as string[];
   }
 
   status(): BudgetStatus {
@@ -144,22 +147,24 @@
     };
   }
 
+  /** Decides on one statement; see `BudgetService.admit`. */
   async admit(deadlineMs: number): Promise<Admission> {
     this.#meter.record();
     if (this.#trySpend()) return ADMITTED;
-    if (!this.#canAsk()) return this.#refusal();
+    if (!this.#mayAcquire()) return this.#createRefusal();
     const trySpend = () => this.#trySpend();
-    const isObtained = await this.#supply.obtain(deadlineMs, trySpend);
-    this.#supply.returnExcess();
-    return isObtained && this.#canAsk() ? ADMITTED : this.#refusal();
+    const isObtained = await this.#tokenAcquirer.acquire(deadlineMs, trySpend);
+    this.#tokenAcquirer.returnLoanedBurst();
+    return isObtained && this.#mayAcquire() ? ADMITTED : this.#createRefusal();
   }
 
+  /** Serves one message of the peer method `budget`. */
   async handle(message: BudgetMessage): Promise<BudgetReply> {
-    this.#calls += 1;
+    this.#activeCalls += 1;
     try {
       return await this.#answer(message);
     } finally {
-      this.#calls -= 1;
+      this.#activeCalls -= 1;
     }
   }
 
@@ -168,56 +173,54 @@
       case 'sync':
         return this.#serve(message);
       case 'recall':
-        return this.#giveBack(message);
+        return this.#answerRecall(message);
       case 'moved':
-        this.#succession.learn(message.epoch, message.owner);
+        this.#roleTransition.observeOwner(message.epoch, message.owner);
         return {kind: 'accepted'};
       case 'spend':
-        return this.#spendForOther(message.count);
+        return this.#spendForRemote(message.count);
     }
   }
 
-  /** Does what is due: messages to the owner, and the owner's housekeeping. */
+  /** Runs periodic work: the owner's housekeeping, or a sync that is due. */
   async tick(): Promise<void> {
     this.#holder.refresh();
     if (this.#owner !== undefined) return this.#role.tick();
-    const purpose = this.#schedule.due(this.#meter, this.#holder, {
-      isOutdated: this.#holder.heldEpoch < this.#ownership.epoch,
-      isOrphan: !this.#ownership.isSettled,
+    const purpose = this.#schedule.duePurpose(this.#meter, this.#holder, {
+      isShareOutdated: this.#holder.heldEpoch < this.#ownership.epoch,
+      hasNoValidOwner: !this.#ownership.hasValidOwner,
       isStandby: this.#isStandby,
     });
     if (purpose !== undefined)
-      await this.#link.sync(purpose, REPORT_TIMEOUT_MS);
+      await this.#ownerClient.sync(purpose, REPORT_TIMEOUT_MS);
   }
 
-  /**
-   * Takes the ownership if it is vacant; whether the budget has an owner now.
-   */
-  async prepare(): Promise<boolean> {
-    if (this.#ownership.isSettled) return true;
-    // Counted, so that the budget is not forgotten while the store answers.
-    this.#calls += 1;
+  /** Takes the ownership if it is vacant; true if the budget has an owner. */
+  async ensureOwner(): Promise<boolean> {
+    if (this.#ownership.hasValidOwner) return true;
+    // Counts as active, so that this object is not dropped during store calls.
+    this.#activeCalls += 1;
     try {
-      await this.#succession.becomeOwner();
+      await this.#roleTransition.becomeOwner();
     } finally {
-      this.#calls -= 1;
+      this.#activeCalls -= 1;
     }
-    return this.#ownership.isSettled;
+    return this.#ownership.hasValidOwner;
   }
 
-  /** Whether this node keeps a reserve of the budget without work of its own. */
-  standBy(isStandby: boolean): void {
+  /** Sets whether this node keeps a reserve of the budget without demand. */
+  setStandby(isStandby: boolean): void {
     this.#isStandby = isStandby;
   }
 
-  /** Hands everything back, and the ownership on. */
+  /** Transfers the ownership if this node has it, and returns its share. */
   async leave(): Promise<void> {
     this.#isStandby = false;
-    await this.#succession.handOn();
-    // The first message may only move the share to the next owner.
-    for (let attempt = 0; attempt < MAX_LEAVE_ATTEMPTS; attempt++) {
-      if (this.#owner !== undefined || isNoShare(this.#holder.share)) return;
-      await this.#link.sync('release', REPORT_TIMEOUT_MS);
+    await this.#roleTransition.transferOwnership();
+    // The first sync may only have the next owner adopt the share.
+    for (let attempt = 0; attempt < MAX_RELEASE_ATTEMPTS; attempt++) {
+      if (this.#owner !== undefined || isEmptyShare(this.#holder.share)) return;
+      await this.#ownerClient.sync('release', REPORT_TIMEOUT_MS);
     }
   }
 
@@ -229,7 +232,7 @@
     return this.#deps.config.limits(this.#deps.team) ?? NO_LIMITS;
   }
 
-  #canAsk(): boolean {
+  #mayAcquire(): boolean {
     return this.#deps.guard.maySpend() && this.#limits().burst >= 1;
   }
 
@@ -237,7 +240,7 @@
     return this.#owner?.trySpend() ?? this.#holder.trySpend();
   }
 
-  #refusal(): Admission {
+  #createRefusal(): Admission {
     return createRefusal({
       maySpend: this.#deps.guard.maySpend(),
       limits: this.#limits(),
@@ -249,43 +252,43 @@
 
   async #serve(sync: SyncMessage): Promise<BudgetReply> {
     if (this.#deps.guard.isCutOff) return {kind: 'busy'};
-    const outdated = sync.knownEpoch > this.#ownership.epoch;
-    if (outdated) await this.#ownership.reload();
-    this.#succession.stepDownIfSucceeded();
-    if (this.#owner === undefined) await this.#succession.becomeOwner();
-    // What a holder tells a later owner is not counted by an earlier one.
+    const isOutdated = sync.knownEpoch > this.#ownership.epoch;
+    if (isOutdated) await this.#ownership.reload();
+    this.#roleTransition.stepDownIfSuperseded();
+    if (this.#owner === undefined) await this.#roleTransition.becomeOwner();
+    // A sync meant for the owner of a later epoch must not change this ledger.
     const isUpToDate = (this.#owner?.epoch ?? 0) >= sync.knownEpoch;
     if (this.#owner !== undefined && isUpToDate) return this.#owner.serve(sync);
     const {epoch, owner} = this.#ownership;
     return {kind: 'notOwner', epoch, owner};
   }
 
-  #spendForOther(count: number): BudgetReply {
+  #spendForRemote(count: number): BudgetReply {
     const {epoch, owner} = this.#ownership;
     if (this.#owner !== undefined) return {kind: 'notOwner', epoch, owner};
-    if (this.#succession.isOpening) return {kind: 'busy'};
+    if (this.#roleTransition.isOpeningLedger) return {kind: 'busy'};
     for (let n = 0; n < count; n++) this.#meter.record();
-    return {kind: 'spent', count: this.#holder.spendForOther(count)};
+    return {kind: 'spent', count: this.#holder.spendForRemote(count)};
   }
 
-  #giveBack(recall: BudgetMessage & {kind: 'recall'}): BudgetReply {
-    this.#succession.learn(recall.epoch, recall.owner);
+  #answerRecall(recall: BudgetMessage & {kind: 'recall'}): BudgetReply {
+    this.#roleTransition.observeOwner(recall.epoch, recall.owner);
     const isCurrent = recall.epoch === this.#ownership.epoch;
     const canAnswer = isCurrent && this.#owner === undefined;
-    if (!canAnswer || this.#holder.isAwaiting) return {kind: 'busy'};
+    if (!canAnswer || this.#holder.isAwaitingGrant) return {kind: 'busy'};
     if (!this.#deps.guard.maySpend()) return {kind: 'busy'};
-    const sync = this.#holder.giveBack(recall, this.#context());
+    const sync = this.#holder.answerRecall(recall, this.#syncContext());
     return {kind: 'returned', sync};
   }
 
-  #context(purpose: SyncPurpose = 'report'): SyncContext {
+  #syncContext(purpose: SyncPurpose = 'report'): SyncContext {
     return {
       team: this.#deps.team,
       holder: this.#deps.self.instance,
       seq: this.#deps.nextSeq(),
       knownEpoch: this.#ownership.epoch,
       demand: purpose === 'release' ? 0 : this.#meter.perSecond,
-      waiting: this.#supply.waiting,
+      waiting: this.#tokenAcquirer.waiting,
       isStandby: this.#isStandby && purpose !== 'release',
     };
   }
--- a/src/admission/team-holder.ts
+++ b/src/admission/team-holder.ts
@@ -1,16 +1,16 @@
-/** What this node holds of one team's budget, granted by its owner. */
+/** The holder's side of one team's budget: the share that the owner granted. */
 
 import {
   bucketSizeOf,
   includesShare,
-  isNoShare,
+  isEmptyShare,
   minShare,
-  NO_SHARE,
+  EMPTY_SHARE,
   subtractShares,
   tokensIn,
   unitsFor,
 } from './share.js';
-import {RemoteSpends} from './remote-spends.js';
+import {InFlightSpends} from './remote-spends.js';
 import type {SpendGuard} from './spend-guard.js';
 import {TokenBucket, type BucketSize} from './token-bucket.js';
 import type {
@@ -22,21 +22,27 @@
 } from './types.js';
 import type {Clock} from '../infra/clock.js';
 
-/** How long a recalled holder keeps enough tokens for its own statements. */
-const KEEP_AHEAD_S = 0.1;
+/** A recalled holder keeps tokens for this much of its own demand. */
+const RECALL_KEEP_S = 0.1;
 
-/** A share under this part of its target is too small. */
-const SHORT_RATIO = 0.75;
+/** A share below this part of its target counts as too small. */
+const LOW_RATIO = 0.75;
 
-/** Why a holder writes to the owner. */
+/** Why a holder sends a sync to the owner. */
 export type SyncPurpose =
-  | 'ask'
+  /** Requests tokens for blocked statements. */
+  | 'acquire'
+  /** Reports demand and returns the excess over the target. */
   | 'report'
+  /** Returns the whole share. */
   | 'release'
-  /** Gives up nothing: the owner may be gone, and what it is sent lost. */
-  | 'check';
+  /**
+   * Tests whether the owner answers, and returns nothing: if the owner were
+   * gone, the returned share would be lost.
+   */
+  | 'probe';
 
-/** What a message says besides the holdings. */
+/** The fields of a sync that do not describe the share. */
 export interface SyncContext {
   readonly team: string;
   readonly holder: string;
@@ -47,22 +53,25 @@
   readonly isStandby: boolean;
 }
 
-/** A holder's share and its tokens. Gives up first, then tells the owner. */
+/**
+ * Holds a share and its tokens. Shrinks the share before the owner is sent the
+ * message that returns a part of it.
+ */
 export class TeamHolder {
   readonly #guard: SpendGuard;
-  readonly #remoteSpends: RemoteSpends;
+  readonly #inFlightSpends: InFlightSpends;
   readonly #limits: () => BudgetLimits;
   readonly #bucket: TokenBucket;
-  #share: Share = NO_SHARE;
-  #target: Share = NO_SHARE;
+  #share: Share = EMPTY_SHARE;
+  #target: Share = EMPTY_SHARE;
   #heldEpoch = 0;
   #grantor: string | undefined;
   #awaitedSeq: number | undefined;
-  #confirmedAtMs = 0;
+  #ownerConfirmedAtMs = 0;
 
   constructor(clock: Clock, guard: SpendGuard, limits: () => BudgetLimits) {
     this.#guard = guard;
-    this.#remoteSpends = new RemoteSpends(clock);
+    this.#inFlightSpends = new InFlightSpends(clock);
     this.#limits = limits;
     this.#bucket = new TokenBucket(clock, {rate: 0, burst: 0}, 0);
   }
@@ -87,94 +96,102 @@
     return this.#grantor;
   }
 
-  /** Whether an answer of the owner is awaited. */
-  get isAwaiting(): boolean {
+  /** True while a reply of the owner is pending. */
+  get isAwaitingGrant(): boolean {
     return this.#awaitedSeq !== undefined;
   }
 
-  /** Whether the owner wants a part of the share back. */
+  /** True if the share exceeds the target that the owner sent last. */
   get hasExcess(): boolean {
     return !includesShare(this.#target, this.share);
   }
 
-  /** Whether the owner last wanted this node to have clearly more. */
-  get isShort(): boolean {
+  /** True if the share is clearly below the target that the owner sent last. */
+  get isBelowTarget(): boolean {
     const {burst, rate} = this.share;
-    const {burst: wantedBurst, rate: wantedRate} = this.#target;
-    return burst < SHORT_RATIO * wantedBurst || rate < SHORT_RATIO * wantedRate;
+    const {burst: targetBurst, rate: targetRate} = this.#target;
+    return burst < LOW_RATIO * targetBurst || rate < LOW_RATIO * targetRate;
   }
 
-  /** Takes one token if this node may spend it. */
+  /** Spends one token, if there is one and this node may spend. */
   trySpend(): boolean {
     if (!this.#guard.maySpend()) return false;
     this.refresh();
     return this.#bucket.trySpend(1);
   }
 
-  /** Milliseconds until the share alone yields a token. */
+  /** Milliseconds until this share's bucket has a token. */
   msUntilToken(): number {
     this.refresh();
     return this.#bucket.msUntil(1);
   }
 
   /**
-   * Applies the limits in force, and drops a share whose owner was retired too
-   * long ago. The time counts from the last proof that it was not, so a paused
-   * process finds its share gone before it spends.
+   * Applies the current limits, and drops a share whose owner was retired too
+   * long ago. That time is measured from the last check that found the owner
+   * valid, so a process that was paused drops its share before it spends.
    */
   refresh(): void {
-    this.#expireOrphan();
+    this.#dropExpiredOrphan();
     const size = this.#bucketSize();
     const {rate, burst} = this.#bucket.size;
     if (rate !== size.rate || burst !== size.burst) this.#bucket.resize(size);
   }
 
-  /** Takes up to `count` tokens for statements of another node. */
-  spendForOther(count: number): number {
+  /** Spends up to `count` tokens for another node; returns the number spent. */
+  spendForRemote(count: number): number {
     let spent = 0;
     while (spent < count && this.trySpend()) spent++;
-    if (spent > 0) this.#remoteSpends.note(spent);
+    if (spent > 0) this.#inFlightSpends.record(spent);
     this.refresh();
     return spent;
   }
 
-  /** Resolves once no token spent for another node is under way. */
-  async remoteSpendsSettled(): Promise<void> {
-    return this.#remoteSpends.settled();
+  /** Resolves once no token spent for another node is in flight. */
+  async waitForRemoteSpends(): Promise<void> {
+    return this.#inFlightSpends.waitUntilSettled();
   }
 
-  /** Gives up what the purpose asks for, and says what is left. */
+  /** Shrinks the share as the purpose requires and returns the sync to send. */
   beginSync(purpose: SyncPurpose, context: SyncContext): SyncMessage {
-    const isAdoption = this.#heldEpoch < context.knownEpoch;
-    const kept = isAdoption ? this.share : this.#keptFor(purpose);
+    const needsAdoption = this.#heldEpoch < context.knownEpoch;
+    const toKeep = needsAdoption ? this.share : this.#shareToKeep(purpose);
     const tokensBack = purpose === 'release' ? this.tokens : 0;
-    const message = this.#lowerTo(kept, tokensBack, context);
+    const message = this.#shrinkTo(toKeep, tokensBack, context);
     this.#awaitedSeq = context.seq;
     return message;
   }
 
-  /** Answers a recall with tokens that this node can spare. */
-  giveBack(recall: RecallMessage, context: SyncContext): SyncMessage {
+  /** Returns tokens that this node can spare, with their part of the share. */
+  answerRecall(recall: RecallMessage, context: SyncContext): SyncMessage {
     if (this.#heldEpoch < recall.epoch) {
-      return this.#lowerTo(this.share, 0, context);
+      return this.#shrinkTo(this.share, 0, context);
     }
     const limits = this.#limits();
     const tokens = this.tokens;
-    const ahead = context.demand * KEEP_AHEAD_S + context.waiting;
-    const spare = Math.max(tokens / 2, tokens - ahead);
-    const given = Math.max(0, Math.min(recall.tokens, spare));
+    const ownNeed = context.demand * RECALL_KEEP_S + context.waiting;
+    const spare = Math.max(tokens / 2, tokens - ownNeed);
+    const tokensToReturn = Math.max(0, Math.min(recall.tokens, spare));
     const {rate, burst} = this.#share;
-    const left = Math.max(0, burst - unitsFor(given, limits));
-    // A rate that its burst can't hold for long would run over unused.
-    const rest = {
-      rate: burst > 0 ? Math.floor(rate * (left / burst)) : rate,
-      burst: left,
+    const remainingBurst = Math.max(
+      0,
+      burst - unitsFor(tokensToReturn, limits),
+    );
+    // The rate shrinks with the burst: a small bucket soon overflows, and the
+    // tokens that it refills would be lost.
+    const remaining = {
+      rate: burst > 0 ? Math.floor(rate * (remainingBurst / burst)) : rate,
+      burst: remainingBurst,
     };
-    return this.#lowerTo(minShare(rest, recall.target), given, context);
+    return this.#shrinkTo(
+      minShare(remaining, recall.target),
+      tokensToReturn,
+      context,
+    );
   }
 
-  /** Takes an answer, if it is the awaited one of an owner not retired. */
-  accept(reply: GrantReply, knownEpoch: number): boolean {
+  /** Applies the pending grant, unless it is outdated or its owner retired. */
+  acceptGrant(reply: GrantReply, knownEpoch: number): boolean {
     if (this.#awaitedSeq !== reply.seq) return false;
     this.#awaitedSeq = undefined;
     if (reply.epoch < knownEpoch) return false;
@@ -185,104 +202,119 @@
     this.#target = reply.target;
     this.#heldEpoch = reply.epoch;
     this.#grantor = reply.owner;
-    this.#confirmedAtMs = this.#guard.nowMs;
+    this.#ownerConfirmedAtMs = this.#guard.nowMs;
     this.refresh();
     this.#bucket.add(reply.tokens);
     return true;
   }
 
-  /** Stops waiting for an answer; one that comes later is not taken. */
-  giveUp(seq: number): void {
+  /** Stops waiting for a reply; a later one is ignored. */
+  cancelSync(seq: number): void {
     if (this.#awaitedSeq === seq) this.#awaitedSeq = undefined;
   }
 
-  /** Drops everything; returns what it was. */
+  /** Drops the share and its tokens; returns what was dropped. */
   clear(): {readonly share: Share; readonly tokens: number} {
     const dropped = {share: this.share, tokens: this.tokens};
     this.#awaitedSeq = undefined;
-    this.#drop();
+    this.#dropShare();
     return dropped;
   }
 
-  /** Holds what this node had as the owner of `epoch`. */
-  hold(share: Share, tokens: number, epoch: number, self: string): void {
+  /** Takes the pool that this node had as the owner of `epoch` as its share. */
+  resumeAsHolder(
+    share: Share,
+    tokens: number,
+    epoch: number,
+    self: string,
+  ): void {
     this.#share = share;
     this.#target = share;
     this.#heldEpoch = epoch;
     this.#grantor = self;
-    this.#confirmedAtMs = this.#guard.nowMs;
+    this.#ownerConfirmedAtMs = this.#guard.nowMs;
     this.refresh();
     this.#bucket.add(tokens);
   }
 
-  /** Without the room of tokens that are spent and not yet used. */
+  /** The bucket's size, less the burst reserved for tokens in flight. */
   #bucketSize(): BucketSize {
     const {rate, burst} = bucketSizeOf(
       this.#share,
       this.#limits(),
       this.#guard.clockErrorRatio,
     );
-    return {rate, burst: Math.max(0, burst - this.#remoteSpends.underWay)};
+    return {
+      rate,
+      burst: Math.max(0, burst - this.#inFlightSpends.tokensInFlight),
+    };
   }
 
-  #keptFor(purpose: SyncPurpose): Share {
+  #shareToKeep(purpose: SyncPurpose): Share {
     const share = this.share;
-    if (purpose === 'check') return share;
-    if (purpose === 'release') return NO_SHARE;
+    if (purpose === 'probe') return share;
+    if (purpose === 'release') return EMPTY_SHARE;
     const lowered = minShare(share, this.#target);
     if (purpose === 'report') return lowered;
-    // An asking node needs its tokens, so it gives back empty room only.
-    const full = unitsFor(this.tokens, this.#limits());
-    const burst = Math.max(lowered.burst, Math.min(share.burst, full));
+    // The node needs its tokens, so it returns only burst that holds none.
+    const filledBurst = unitsFor(this.tokens, this.#limits());
+    const burst = Math.max(lowered.burst, Math.min(share.burst, filledBurst));
     return {rate: lowered.rate, burst};
   }
 
-  /** Tokens that no longer fit go back too, within the room that goes back. */
-  #lowerTo(
+  /**
+   * Shrinks the share and returns `tokens`, or as many as no longer fit if that
+   * is more, but no more than the returned burst can hold.
+   */
+  #shrinkTo(
     wantedShare: Share,
     tokens: number,
     context: SyncContext,
   ): SyncMessage {
     const limits = this.#limits();
-    const kept = this.#withSpentRoom(wantedShare, limits);
-    const over = this.tokens - tokensIn(kept.burst, limits);
-    const room = tokensIn(subtractShares(this.#share, kept).burst, limits);
-    const wanted = Math.min(room, Math.max(over, tokens));
+    const remaining = this.#withInFlightBurst(wantedShare, limits);
+    const overflow = this.tokens - tokensIn(remaining.burst, limits);
+    const maxReturned = tokensIn(
+      subtractShares(this.#share, remaining).burst,
+      limits,
+    );
+    const wanted = Math.min(maxReturned, Math.max(overflow, tokens));
     const tokensBack = this.#bucket.drain(wanted);
-    const heldEpoch = isNoShare(kept) ? 0 : this.#heldEpoch;
-    this.#share = kept;
-    if (isNoShare(kept)) this.#drop();
+    const heldEpoch = isEmptyShare(remaining) ? 0 : this.#heldEpoch;
+    this.#share = remaining;
+    if (isEmptyShare(remaining)) this.#dropShare();
     this.refresh();
     return {
       kind: 'sync',
       ...context,
       heldEpoch,
-      held: kept,
+      held: remaining,
       tokens: this.#bucket.tokens,
       tokensBack,
     };
   }
 
-  /** The room of tokens that are not used yet can't be given up either. */
-  #withSpentRoom(share: Share, limits: BudgetLimits): Share {
-    const spent = unitsFor(this.#remoteSpends.underWay, limits);
+  /** Raises a share's burst so that it covers the tokens in flight. */
+  #withInFlightBurst(share: Share, limits: BudgetLimits): Share {
+    const spent = unitsFor(this.#inFlightSpends.tokensInFlight, limits);
     const burst = Math.max(share.burst, Math.min(this.#share.burst, spent));
     return {rate: share.rate, burst};
   }
 
-  #expireOrphan(): void {
+  #dropExpiredOrphan(): void {
     if (this.#grantor === undefined || this.#guard.isCutOff) return;
     const nowMs = this.#guard.nowMs;
     if (!this.#guard.isRetired(this.#grantor)) {
-      this.#confirmedAtMs = nowMs;
+      this.#ownerConfirmedAtMs = nowMs;
       return;
     }
-    if (nowMs - this.#confirmedAtMs >= this.#guard.orphanMs) this.#drop();
+    if (nowMs - this.#ownerConfirmedAtMs >= this.#guard.orphanGraceMs)
+      this.#dropShare();
   }
 
-  #drop(): void {
-    this.#share = NO_SHARE;
-    this.#target = NO_SHARE;
+  #dropShare(): void {
+    this.#share = EMPTY_SHARE;
+    this.#target = EMPTY_SHARE;
     this.#heldEpoch = 0;
     this.#grantor = undefined;
     this.#bucket.resize({rate: 0, burst: 0});
--- a/src/admission/team-owner.ts
+++ b/src/admission/team-owner.ts
@@ -1,13 +1,13 @@
-/** The owner of one team's budget: grants shares and takes them back. */
+/** The owner's side of one team's budget: grants and reclaims shares. */
 
 import type {Clock} from '../infra/clock.js';
 import {
-  affordableRise,
+  affordableIncrease,
   isOverloaded,
   OVERLOAD_PAUSE_MS,
-  ownerShare,
-  reserveShare,
-  roomFor,
+  ownerReserve,
+  standbyReserve,
+  burstUnitsToGrant,
   standbyCount,
   targetShare,
   tokensToGrant,
@@ -19,7 +19,7 @@
 import {
   addShares,
   bucketSizeOf,
-  isNoShare,
+  isEmptyShare,
   maxShare,
   tokensIn,
 } from './share.js';
@@ -34,11 +34,11 @@
   SyncMessage,
 } from './types.js';
 
-/** Pauses between two asks of a node that got too little. */
-const MIN_ASK_PAUSE_MS = 10;
-const MAX_ASK_PAUSE_MS = 100;
+/** Bounds of the pause between two requests of a node that got too little. */
+const MIN_REQUEST_PAUSE_MS = 10;
+const MAX_REQUEST_PAUSE_MS = 100;
 
-/** What an owner is built from. */
+/** Dependencies of a team owner. */
 export interface TeamOwnerDeps {
   readonly team: string;
   readonly self: string;
@@ -46,11 +46,11 @@
   readonly guard: SpendGuard;
   readonly peers: BudgetPeers;
   readonly limits: () => BudgetLimits;
-  /** Statements a second offered at the owner's own node. */
+  /** Statements a second that callers send to the owner's own node. */
   readonly ownDemand: () => number;
 }
 
-/** The ledger of one budget in one epoch, and the tokens of its pool. */
+/** Keeps the ledger of one budget in one epoch, and the tokens of its pool. */
 export class TeamOwner {
   readonly epoch: number;
   readonly #deps: TeamOwnerDeps;
@@ -60,7 +60,10 @@
   readonly #recalls: Recalls;
   #isClosed = false;
 
-  /** `ledger` is whole in the first epoch, and unaccounted in a later one. */
+  /**
+   * `ledger` has the whole budget in its pool in the first epoch, and as its
+   * unaccounted share in a later one.
+   */
   constructor(
     deps: TeamOwnerDeps,
     epoch: number,
@@ -71,7 +74,7 @@
     this.#deps = deps;
     this.#ledger = ledger;
     this.#demands = new DemandTable(deps.clock);
-    this.#bucket = new TokenBucket(deps.clock, this.#size(), tokens);
+    this.#bucket = new TokenBucket(deps.clock, this.#bucketSize(), tokens);
     this.#recalls = new Recalls({
       team: deps.team,
       owner: deps.self,
@@ -84,7 +87,7 @@
       tokens: () => this.tokens,
       totalDemand: () => this.#totalDemand(),
       targetOf: holder => this.#targetOf(holder),
-      count: sync => void this.#count(sync),
+      count: sync => void this.#reconcile(sync),
     });
   }
 
@@ -93,33 +96,33 @@
   }
 
   get tokens(): number {
-    this.#refit();
+    this.#resizeBucket();
     return this.#bucket.tokens;
   }
 
-  /** The nodes that may hold a share. */
+  /** The nodes that the ledger records as holding a share. */
   get holders(): readonly string[] {
     return [...this.#ledger.entries]
-      .filter(([, entry]) => !isNoShare(entry.share))
+      .filter(([, entry]) => !isEmptyShare(entry.share))
       .map(([holder]) => holder);
   }
 
   trySpend(): boolean {
     if (this.#isClosed || !this.#deps.guard.maySpend()) return false;
-    this.#refit();
+    this.#resizeBucket();
     return this.#bucket.trySpend(1);
   }
 
   msUntilToken(): number {
-    this.#refit();
+    this.#resizeBucket();
     return this.#bucket.msUntil(1);
   }
 
-  /** Counts a holder's message and answers it with a grant. */
+  /** Applies a holder's message to the ledger and replies with a grant. */
   async serve(sync: SyncMessage): Promise<BudgetReply> {
-    const counted = this.#count(sync);
-    if (counted === 'stale') return {kind: 'stale'};
-    if (counted === 'void') {
+    const result = this.#reconcile(sync);
+    if (result === 'stale') return {kind: 'stale'};
+    if (result === 'void') {
       return {kind: 'void', epoch: this.epoch, owner: this.#deps.self};
     }
     if (sync.waiting > 0 && this.#bucket.tokens < sync.waiting) {
@@ -131,86 +134,95 @@
     return this.#grant(sync);
   }
 
-  /** Asks holders for tokens until there are `wanted`, if they have them. */
+  /** Recalls tokens from holders until the pool has `wanted`, if they can. */
   async recallTokens(wanted: number, except?: string): Promise<void> {
     await this.#recalls.collect(wanted, except);
   }
 
-  /** Asks holders not heard of for long what they hold. */
-  async askForReports(): Promise<void> {
-    await this.#recalls.askForReports(this.holders);
-    this.#demands.forgetSilent();
+  /** Requests reports from holders that have not sent one for long. */
+  async requestReports(): Promise<void> {
+    await this.#recalls.requestReports(this.holders);
+    this.#demands.removeExpired();
   }
 
-  /** Takes back the share of a node that can never spend again. */
+  /** Reclaims the share of a node that can never spend again. */
   reclaim(holder: string): void {
-    this.#refit();
+    this.#resizeBucket();
     this.#ledger.reclaim(holder);
-    this.#demands.forget(holder);
-    this.#refit();
+    this.#demands.remove(holder);
+    this.#resizeBucket();
   }
 
-  /** Takes over what this node held of an earlier owner. */
-  absorb(share: Share, tokens: number): void {
-    this.#refit();
-    if (!this.#ledger.absorb(share)) return;
-    this.#refit();
+  /** Moves the share that this node held under an earlier owner to the pool. */
+  adoptOwnShare(share: Share, tokens: number): void {
+    this.#resizeBucket();
+    if (!this.#ledger.adoptOwnShare(share)) return;
+    this.#resizeBucket();
     this.#bucket.add(tokens);
   }
 
-  /** Takes what no earlier grant can hold any longer, without tokens. */
-  closeAdoption(): void {
-    this.#refit();
-    this.#ledger.closeAdoption();
-    this.#refit();
+  /** Moves the unaccounted share to the pool, without any tokens. */
+  reclaimUnaccounted(): void {
+    this.#resizeBucket();
+    this.#ledger.reclaimUnaccounted();
+    this.#resizeBucket();
   }
 
-  /** Stops granting; returns what this node goes on to hold. */
+  /** Stops granting; returns the pool, which this node keeps as a holder. */
   close(): {readonly share: Share; readonly tokens: number} {
-    const left = {share: this.pool, tokens: this.tokens};
-    // A call under way must not grant from a pool that is held elsewhere.
+    const pool = {share: this.pool, tokens: this.tokens};
+    // A pending call must not grant from a pool that now belongs to a holder.
     this.#isClosed = true;
-    return left;
+    return pool;
   }
 
-  #count(sync: SyncMessage): 'counted' | 'stale' | 'void' {
+  #reconcile(sync: SyncMessage): 'reconciled' | 'stale' | 'void' {
     if (this.#isClosed) return 'stale';
     if (this.#deps.guard.isRetired(sync.holder)) return 'void';
-    this.#refit();
+    this.#resizeBucket();
     const res = this.#ledger.reconcile(sync, this.epoch);
-    if (res.kind !== 'counted') return res.kind;
-    this.#refit();
-    const room = tokensIn(res.returned.burst, this.#deps.limits());
-    this.#bucket.add(Math.min(room, sync.tokensBack));
-    this.#demands.note(sync);
-    return 'counted';
+    if (res.kind !== 'reconciled') return res.kind;
+    this.#resizeBucket();
+    const maxTokens = tokensIn(res.returned.burst, this.#deps.limits());
+    this.#bucket.add(Math.min(maxTokens, sync.tokensBack));
+    this.#demands.record(sync);
+    return 'reconciled';
   }
 
   #grant(sync: SyncMessage): GrantReply {
-    this.#refit();
+    this.#resizeBucket();
     const held = this.#ledger.shareOf(sync.holder);
     const limits = this.#deps.limits();
     const target = this.#targetOf(sync.holder);
-    const kept = ownerShare(
+    const reserved = ownerReserve(
       this.#deps.ownDemand(),
       this.#totalDemand(),
       limits,
     );
-    const rise = affordableRise(held, target, this.#ledger.pool, kept);
+    const increase = affordableIncrease(
+      held,
+      target,
+      this.#ledger.pool,
+      reserved,
+    );
     const wanted = tokensToGrant(
       sync,
       this.#bucket.tokens,
       this.#ledger.pool.burst,
-      rise.burst,
+      increase.burst,
       target,
     );
-    const room = sync.waiting > 0 ? roomFor(wanted, held, limits) : 0;
-    const burst = Math.min(this.#ledger.pool.burst, Math.max(rise.burst, room));
-    this.#ledger.grant(sync.holder, {rate: rise.rate, burst});
+    const needed =
+      sync.waiting > 0 ? burstUnitsToGrant(wanted, held, limits) : 0;
+    const burst = Math.min(
+      this.#ledger.pool.burst,
+      Math.max(increase.burst, needed),
+    );
+    this.#ledger.grant(sync.holder, {rate: increase.rate, burst});
     const tokens = this.#bucket.drain(
       Math.min(wanted, tokensIn(burst, limits)),
     );
-    this.#refit();
+    this.#resizeBucket();
     return {
       kind: 'granted',
       epoch: this.epoch,
@@ -219,7 +231,8 @@
       share: this.#ledger.shareOf(sync.holder),
       tokens,
       target,
-      askAgainMs: sync.waiting > tokens + sync.tokens ? this.#askPauseMs() : 0,
+      askAgainMs:
+        sync.waiting > tokens + sync.tokens ? this.#requestPauseMs() : 0,
       retryAfterMs: this.#retryAfterMs(),
     };
   }
@@ -231,18 +244,18 @@
     const standbys = this.#standbys();
     const isStandby = this.#demands.isStandby(holder);
     if (!isStandby || !standbys.includes(holder)) return target;
-    const shares = standbys.map(one => this.#ledger.shareOf(one));
-    const here = shares.reduce(addShares, this.#ledger.pool);
-    return maxShare(target, reserveShare(here, standbys.length));
+    const shares = standbys.map(instance => this.#ledger.shareOf(instance));
+    const total = shares.reduce(addShares, this.#ledger.pool);
+    return maxShare(target, standbyReserve(total, standbys.length));
   }
 
-  /** The nodes that keep a reserve: the first choices besides this one. */
+  /** The nodes that keep a reserve: those ranked best, without this one. */
   #standbys(): readonly string[] {
     const {peers, self, team, limits} = this.#deps;
     return peers
       .homeOrder(budgetKey(team))
       .map(({instance}) => instance)
-      .filter(one => one !== self)
+      .filter(instance => instance !== self)
       .slice(0, standbyCount(limits()));
   }
 
@@ -250,10 +263,13 @@
     return this.#demands.total + this.#deps.ownDemand();
   }
 
-  #askPauseMs(): number {
+  #requestPauseMs(): number {
     if (this.#isOverloaded()) return OVERLOAD_PAUSE_MS;
     const dueMs = this.#bucket.msUntil(1);
-    return Math.min(MAX_ASK_PAUSE_MS, Math.max(MIN_ASK_PAUSE_MS, dueMs));
+    return Math.min(
+      MAX_REQUEST_PAUSE_MS,
+      Math.max(MIN_REQUEST_PAUSE_MS, dueMs),
+    );
   }
 
   #isOverloaded(): boolean {
@@ -266,13 +282,13 @@
     return 1_000 / Math.max(this.#deps.limits().rate, 1e-3);
   }
 
-  #refit(): void {
-    const size = this.#size();
+  #resizeBucket(): void {
+    const size = this.#bucketSize();
     const {rate, burst} = this.#bucket.size;
     if (rate !== size.rate || burst !== size.burst) this.#bucket.resize(size);
   }
 
-  #size() {
+  #bucketSize() {
     return bucketSizeOf(
       this.#ledger.pool,
       this.#deps.limits(),
--- a/src/admission/team-queues.ts
+++ b/src/admission/team-queues.ts
@@ -1,10 +1,10 @@
-/** Start-time fair queueing between the teams of one class. */
+/** Start-time fair queueing (SFQ) between the teams of one priority class. */
 
 import type {WorkOrder} from './fair-queue.js';
 
 const MIN_WEIGHT = 1e-6;
 
-interface Queued<T> {
+interface QueuedItem<T> {
   readonly item: T;
   readonly costMs: number;
   readonly deadlineMs: number;
@@ -14,12 +14,15 @@
 
 interface TeamQueue<T> {
   weight: number;
-  readonly items: Queued<T>[];
+  readonly items: QueuedItem<T>[];
   finishTag: number;
   costMs: number;
 }
 
-/** One first-in-first-out queue a team, served by the lowest start tag. */
+/**
+ * One FIFO queue for each team. The next item is the one with the lowest start
+ * tag, the virtual time from which the team's weight entitles it to run.
+ */
 export class TeamQueues<T> {
   readonly #weightOf: (team: string) => number;
   readonly #queues = new Map<string, TeamQueue<T>>();
@@ -36,18 +39,18 @@
   }
 
   /** The expected time of all queued items on one connection. */
-  get cost(): number {
-    let cost = 0;
-    for (const queue of this.#queues.values()) cost += queue.costMs;
-    return cost;
+  get totalCostMs(): number {
+    let totalMs = 0;
+    for (const queue of this.#queues.values()) totalMs += queue.costMs;
+    return totalMs;
   }
 
-  /** A lower bound of the queued deadlines; infinite when nothing is queued. */
+  /** A lower bound of the queued deadlines; infinite if nothing is queued. */
   get nextExpiryMs(): number {
     return this.#size === 0 ? Infinity : this.#nextExpiryMs;
   }
 
-  /** When the oldest item was queued; infinite when nothing is queued. */
+  /** Time at which the oldest item was queued; infinite if nothing is queued. */
   get oldestQueuedAtMs(): number {
     let oldestMs = Infinity;
     for (const {items} of this.#queues.values()) {
@@ -82,7 +85,7 @@
     return this.#removeAt(first, 0);
   }
 
-  /** Takes one item whose deadline has passed. */
+  /** Takes one item whose deadline has passed, if there is any. */
   takeExpired(nowMs: number): T | undefined {
     if (nowMs < this.#nextExpiryMs) return undefined;
     let nextMs = Infinity;
@@ -107,19 +110,19 @@
     return false;
   }
 
-  /** The work that goes before a new item of `team`, on one connection. */
-  costAhead(team: string): number {
+  /** The expected time, on one connection, of the items before a new one. */
+  costAheadMs(team: string): number {
     const own = this.#queues.get(team);
     const startTag = Math.max(this.#virtualTime, own?.finishTag ?? 0);
-    let cost = own?.costMs ?? 0;
+    let aheadMs = own?.costMs ?? 0;
     for (const queue of this.#queues.values()) {
       const head = queue.items[0];
       if (queue === own || head === undefined) continue;
       if (head.startTag > startTag) continue;
       const served = (startTag - head.startTag) * queue.weight;
-      cost += Math.min(queue.costMs, Math.max(served, head.costMs));
+      aheadMs += Math.min(queue.costMs, Math.max(served, head.costMs));
     }
-    return cost;
+    return aheadMs;
   }
 
   #queueOf(team: string): TeamQueue<T> {
@@ -139,12 +142,12 @@
     if (removed === undefined) return undefined;
     queue.costMs -= removed.costMs;
     this.#size -= 1;
-    this.#forgetIdle();
+    this.#removeIdleQueues();
     return removed.item;
   }
 
-  /** Forgets queues whose past gives them no later start than a new one. */
-  #forgetIdle(): void {
+  /** Drops empty queues whose finish tag no longer delays their next item. */
+  #removeIdleQueues(): void {
     for (const [name, queue] of this.#queues) {
       const idle = queue.items.length === 0;
       if (idle && queue.finishTag <= this.#virtualTime)
--- a/src/admission/token-bucket.ts
+++ b/src/admission/token-bucket.ts
@@ -5,16 +5,16 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Slack for rounding, so that a caller who waits out `msUntil` is admitted.
- * The bucket owes what it lends, so rounding never adds up.
+ * Tolerates rounding errors, so that a caller that waits for `msUntil` is
+ * admitted. The balance may go below zero by this much, so errors do not add up.
  */
-const ROUNDING_TOKENS = 1e-9;
+const ROUNDING_TOLERANCE_TOKENS = 1e-9;
 
-/** What a bucket refills by and holds at most. */
+/** The refill rate and the capacity of a bucket. */
 export interface BucketSize {
   /** Tokens a second. */
   readonly rate: number;
-  /** Most tokens held at once. */
+  /** Maximum number of tokens held at once. */
   readonly burst: number;
 }
 
@@ -44,21 +44,21 @@
     return this.#size;
   }
 
-  /** The tokens at this moment. */
+  /** The current number of tokens. */
   get tokens(): number {
     this.#refill();
     return this.#tokens;
   }
 
-  /** Takes `count` tokens, or none. */
+  /** Takes `count` tokens and returns true, or takes none. */
   trySpend(count: number): boolean {
     this.#refill();
-    if (this.#tokens + ROUNDING_TOKENS < count) return false;
+    if (this.#tokens + ROUNDING_TOLERANCE_TOKENS < count) return false;
     this.#tokens -= count;
     return true;
   }
 
-  /** Takes as many of `wanted` tokens as there are; returns that number. */
+  /** Takes up to `wanted` tokens and returns the number taken. */
   drain(wanted: number): number {
     this.#refill();
     const taken = Math.max(0, Math.min(wanted, this.#tokens));
@@ -66,25 +66,25 @@
     return taken;
   }
 
-  /** Adds tokens, as far as they fit. */
+  /** Adds tokens up to the burst; the excess is lost. */
   add(count: number): void {
     this.#refill();
     this.#tokens = Math.min(this.#size.burst, this.#tokens + count);
   }
 
-  /** Changes the size. Time that has passed counts at the old rate. */
+  /** Changes the size; tokens earned so far accrue at the old rate. */
   resize(size: BucketSize): void {
     this.#refill();
     this.#size = size;
     this.#tokens = Math.min(this.#tokens, size.burst);
   }
 
-  /** Milliseconds until `count` tokens are there; infinite if they never are. */
+  /** Milliseconds until `count` tokens are available; infinite if never. */
   msUntil(count: number): number {
     this.#refill();
     const missing = count - this.#tokens;
-    if (missing <= ROUNDING_TOKENS) return 0;
-    const fits = count <= this.#size.burst + ROUNDING_TOKENS;
+    if (missing <= ROUNDING_TOLERANCE_TOKENS) return 0;
+    const fits = count <= this.#size.burst + ROUNDING_TOLERANCE_TOKENS;
     if (!fits || this.#size.rate <= 0) return Infinity;
     return (missing / this.#size.rate) * MS_PER_SECOND;
   }
--- a/src/admission/types.ts
+++ b/src/admission/types.ts
@@ -1,50 +1,59 @@
-/** Ports and messages of the team budgets. Messages are plain data. */
+/** Ports and peer messages of the team budgets. Messages are plain data. */
 
 import type {Clock, Random} from '../infra/clock.js';
 import type {Store} from '../infra/store.js';
 
-/** What a team may use over all VMs together. */
+/** A team's rate limit over all VMs together. */
 export interface BudgetLimits {
   /** Statements a second. */
   readonly rate: number;
-  /** Statements at once. */
+  /** Statements admitted at once; the capacity of the token bucket. */
   readonly burst: number;
 }
 
-/** A part of a budget, in units of which the whole has `WHOLE_UNITS`. */
+/**
+ * The escrowed part of a budget that one node holds, in units. A whole budget
+ * has `WHOLE_UNITS` of rate and of burst.
+ */
 export interface Share {
   readonly rate: number;
   readonly burst: number;
 }
 
-/** A running process on a VM. A restarted one has a new instance id. */
+/** A running process on a VM. A restarted process has a new instance id. */
 export interface NodeRef {
   readonly vm: string;
   readonly instance: string;
 }
 
-/** How far this node may trust what it knows of the configuration. */
+/**
+ * Whether this node's copy of the configuration may be trusted.
+ *
+ * - `current`: the store was reached within the standing limit.
+ * - `outage`: it was not, but most VMs are in contact: the store is down.
+ * - `cutOff`: neither; this node may be missing configuration changes.
+ */
 export type Standing = 'current' | 'outage' | 'cutOff';
 
-/** Tells whether this node may spend. */
+/** Provides the standing of this node's configuration. */
 export interface StandingPort {
   standing(): Standing;
 }
 
-/** What the configuration document says, as far as this node has heard. */
+/** The configuration document in the version that this node has received. */
 export interface BudgetConfigPort {
-  /** A team's limits; undefined if the table has no row for it. */
+  /** Returns a team's limits; undefined if the table has no row for it. */
   limits(team: string): BudgetLimits | undefined;
   /**
    * Instances that may never spend again. An edit reaches every node within
    * the standing limit, or that node's standing is `cutOff`.
    */
   retired(): ReadonlySet<string>;
-  /** Edits the document through the store; may throw. */
+  /** Adds an instance to `retired` through the store; may throw. */
   retire(instance: string): Promise<void>;
 }
 
-/** Calls other nodes' `budget` method. */
+/** Calls the peer method `budget` of other nodes. */
 export interface BudgetPeers {
   /** Rejects if no answer comes within `timeoutMs`. */
   call(
@@ -52,22 +61,22 @@
     message: BudgetMessage,
     timeoutMs: number,
   ): Promise<BudgetReply>;
-  /** The nodes believed live. */
+  /** Returns the nodes that membership considers live. */
   live(): readonly NodeRef[];
   /**
-   * Whether an instance is known to have ended: its VM is dead, or runs
-   * another one. Not hearing of an instance is no proof.
+   * True if an instance has certainly ended: its VM is dead, or runs another
+   * instance. An instance that merely does not answer may still run.
    */
   isGone(instance: string): boolean;
-  /** The live nodes by rendezvous hashing over `key`, first choice first. */
+  /** Ranks the live nodes by rendezvous hashing of `key`, best first. */
   homeOrder(key: string): readonly NodeRef[];
 }
 
 /**
- * A holder tells the owner what it holds and needs.
+ * A holder reports its share and its demand to the owner.
  *
- * From this message on the holder takes no answer to an earlier one, so the
- * owner may count whatever exceeds `held` as its own again.
+ * After sending this message the holder ignores replies to earlier ones, so
+ * the owner may return whatever it granted beyond `held` to its pool.
  */
 export interface SyncMessage {
   readonly kind: 'sync';
@@ -77,24 +86,24 @@
   readonly seq: number;
   /** The epoch of the owner that granted `held`; 0 when nothing is held. */
   readonly heldEpoch: number;
-  /** The highest epoch that the holder knows. */
+  /** The highest ownership epoch that the holder knows. */
   readonly knownEpoch: number;
   readonly held: Share;
   /** Tokens that the holder keeps. */
   readonly tokens: number;
-  /** Tokens that go back together with the part of the share given up. */
+  /** Tokens returned with the part of the share that the holder gave up. */
   readonly tokensBack: number;
-  /** Statements a second that callers offer at this node. */
+  /** Statements a second that callers send to this node. */
   readonly demand: number;
-  /** Statements that wait for this answer. */
+  /** Statements blocked until the reply arrives. */
   readonly waiting: number;
-  /** Whether the holder keeps a reserve without work of its own. */
+  /** True if the holder keeps a standby reserve even without demand. */
   readonly isStandby: boolean;
 }
 
 /**
- * The owner asks a holder for tokens and to lower its share to `target` now.
- * Only a hint: the holder decides, and answers with what it holds.
+ * The owner requests tokens from a holder and a share of at most `target`.
+ * This is a hint: the holder decides and replies with what it still holds.
  */
 export interface RecallMessage {
   readonly kind: 'recall';
@@ -102,11 +111,11 @@
   readonly epoch: number;
   readonly owner: string;
   readonly target: Share;
-  /** Tokens that other nodes wait for. */
+  /** Tokens that other nodes need. */
   readonly tokens: number;
 }
 
-/** A leaving owner names the next one. */
+/** An owner that shuts down announces its successor. */
 export interface MovedMessage {
   readonly kind: 'moved';
   readonly team: string;
@@ -115,70 +124,71 @@
 }
 
 /**
- * A node that can't ask the owner has another one spend tokens of its share
- * for statements that wait here. The answer holds for `SPEND_VALID_MS`.
+ * A node that can't reach the owner requests that another holder spend tokens
+ * of its own share for statements blocked at the sender. The reply is valid for
+ * `SPEND_VALID_MS`.
  */
 export interface SpendMessage {
   readonly kind: 'spend';
   readonly team: string;
-  /** Statements that wait. */
+  /** Statements blocked at the sender. */
   readonly count: number;
 }
 
-/** A call of the peer method `budget`. */
+/** A request of the peer method `budget`. */
 export type BudgetMessage =
   SyncMessage | RecallMessage | MovedMessage | SpendMessage;
 
-/** The owner's answer to a sync. */
+/** The owner's reply to a sync. */
 export interface GrantReply {
   readonly kind: 'granted';
   readonly epoch: number;
   readonly owner: string;
   readonly seq: number;
-  /** What the holder holds from now on. */
+  /** The holder's share from now on. */
   readonly share: Share;
-  /** Tokens that come with the part added to the share. */
+  /** Tokens granted together with the added part of the share. */
   readonly tokens: number;
-  /** What the holder should come down to once it has spent its tokens. */
+  /** The share that the holder should shrink to as it spends its tokens. */
   readonly target: Share;
-  /** How long the holder should not ask for tokens again. */
+  /** Minimum time until the holder may request tokens again. */
   readonly askAgainMs: number;
-  /** When the owner expects to have a token. */
+  /** Expected time until the owner has a token. */
   readonly retryAfterMs: number;
 }
 
-/** An answer of the peer method `budget`. */
+/** A reply of the peer method `budget`. */
 export type BudgetReply =
   | GrantReply
-  /** This node does not own the budget; it names the owner if it knows it. */
+  /** This node does not own the budget; `owner` is the owner it knows of. */
   | {
       readonly kind: 'notOwner';
       readonly epoch: number;
       readonly owner: string | undefined;
     }
-  /** The ledger does not have what the holder claims; it must drop it. */
+  /** The ledger does not cover the holder's claim; the holder must drop it. */
   | {readonly kind: 'void'; readonly epoch: number; readonly owner: string}
-  /** An older message than one already served. */
+  /** The message is older than one already processed. */
   | {readonly kind: 'stale'}
-  /** The answer to a recall: what the holder holds now. */
+  /** The reply to a recall: what the holder holds now. */
   | {readonly kind: 'returned'; readonly sync: SyncMessage}
-  /** The holder awaits an answer and gives nothing back now. */
+  /** This node can't serve the message now, e.g. its own sync is pending. */
   | {readonly kind: 'busy'}
   | {readonly kind: 'accepted'}
-  /** The answer to a spend: for how many of the statements. */
+  /** The reply to a spend: the number of tokens spent for the sender. */
   | {readonly kind: 'spent'; readonly count: number};
 
-/** Whether a statement may run. */
+/** The admission decision for one statement. */
 export type Admission =
   | {readonly kind: 'admitted'}
   | {
       readonly kind: 'refused';
-      /** `unavailable`: not known to be over the rate; nobody could say. */
+      /** `unavailable`: no owner could confirm that the team is over its rate. */
       readonly reason: 'overRate' | 'unavailable';
       readonly retryAfterMs: number;
     };
 
-/** What an operator sees of one budget at this node. */
+/** The state of one budget at this node, for operators. */
 export interface BudgetStatus {
   readonly team: string;
   readonly epoch: number;
@@ -187,15 +197,15 @@
   readonly tokens: number;
 }
 
-/** Settings of the budgets. */
+/** Settings of the team budgets. */
 export interface BudgetOptions {
-  /** How long a node may go unheard before its standing is `cutOff`. */
+  /** Time without contact after which a node's standing is `cutOff`. */
   readonly standingLimitMs: number;
-  /** The largest relative error of a monotonic clock. */
+  /** Maximum relative rate error of a node's monotonic clock. */
   readonly clockErrorRatio: number;
 }
 
-/** What the budgets of a node are built from. */
+/** Dependencies of a node's budgets. */
 export interface BudgetDeps {
   readonly self: NodeRef;
   readonly clock: Clock;
--- a/src/quota/budget-holder.ts
+++ b/src/quota/budget-holder.ts
@@ -1,17 +1,18 @@
 /**
- * The holder's side of the team budgets: admits operations by tokens that it
- * takes from the budget's owner a little ahead of their use.
+ * The holder's side of the team budgets: admits operations with tokens that it
+ * prefetches from the budget's owner.
  *
- * Load pattern: steady work of many teams with short peaks. A grant covers the
- * next moments, so that most operations are admitted without a call. While the
- * owner is out of reach the holder goes on at its own part of the team's rate
- * for a limited time: all holders together stay within it.
+ * Load pattern: steady load of many teams with short peaks. A grant covers the
+ * demand of the next `PREFETCH_MS`, so most operations are admitted without a
+ * call to the owner. While the owner can't be reached, the holder falls back to
+ * its own fraction of the team's rate for a limited time; all holders together
+ * stay within the rate.
  */
 import {DemandMeter} from '../admission/demand-meter.js';
 import {TokenBucket} from '../admission/token-bucket.js';
 import type {Clock} from '../infra/clock.js';
 import type {Logger} from '../telemetry/log.js';
-import {ReturnTimes} from './return-times.js';
+import {RetrySpacing} from './return-times.js';
 import type {
   QuotaDecision,
   RateLimits,
@@ -19,57 +20,61 @@
   TokenRequest,
 } from './types.js';
 
-/** How far ahead tokens are taken. */
-const AHEAD_MS = 200;
-/** Unspent tokens older than this are not spent: their owner may be another. */
+/** Tokens are prefetched for this much future demand. */
+const PREFETCH_MS = 200;
+/** Older unspent tokens are discarded, as the budget may have a new owner. */
 const GRANT_VALID_MS = 500;
-/** How long a holder goes on by itself while the owner is out of reach. */
-const ALONE_MS = 5_000;
+/** Maximum time for which a holder uses its fallback without the owner. */
+const FALLBACK_MAX_MS = 5_000;
 /**
- * Time over which a holder that goes on alone may save its part up: its work
- * comes in peaks. It begins with one token, so all together stay within the
- * rate from the start.
+ * Time over which the fallback bucket may accumulate tokens, as load comes in
+ * peaks. The bucket starts with one token, so that all holders together stay
+ * within the rate from the start.
  */
-const ALONE_SAVED_MS = 1_000;
+const FALLBACK_BURST_MS = 1_000;
 const UNAVAILABLE_RETRY_MS = 300;
-/** An answer under way may have been asked for before this operation came. */
-const MAX_ASKS = 2;
+/**
+ * Maximum requests for one operation: it may have joined a request that was sent
+ * before it arrived, whose reply does not count it.
+ */
+const MAX_REQUESTS = 2;
 
-/** What the holder's side is built from. */
+/** Options of the holder's side. */
 export interface BudgetHolderOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly limits: (team: string) => RateLimits | undefined;
-  /** Asks the budget's owner; rejects when it is out of reach. */
+  /** Requests tokens from the budget's owner; rejects if it can't be reached. */
   readonly ask: (req: TokenRequest) => Promise<TokenReply>;
 }
 
-interface Held {
+/** The state of one team's budget at this holder. */
+interface TeamState {
   readonly meter: DemandMeter;
   tokens: number;
-  grantedAt: number;
+  grantedAtMs: number;
   waiting: number;
-  asking: Promise<void> | undefined;
-  refusedUntil: number;
-  readonly returns: ReturnTimes;
-  lastContactAt: number;
+  pendingRequest: Promise<void> | undefined;
+  refusedUntilMs: number;
+  readonly retrySpacing: RetrySpacing;
+  lastContactAtMs: number;
   share: number;
-  alone: TokenBucket | undefined;
+  fallbackBucket: TokenBucket | undefined;
 }
 
 const ADMITTED: QuotaDecision = {kind: 'admitted'};
 
-/** Admits operations of all teams at this node. */
+/** Admits the operations of all teams at this node. */
 export class BudgetHolder {
   readonly #options: BudgetHolderOptions;
-  readonly #held = new Map<string, Held>();
+  readonly #teams = new Map<string, TeamState>();
 
   constructor(options: BudgetHolderOptions) {
     this.#options = options;
   }
 
   /**
-   * Decides on one operation; waits for one answer of the owner at most.
+   * Decides on one operation; waits for at most `MAX_REQUESTS` owner replies.
    *
    * @example
    * const decision = await holder.admit('red');
@@ -79,117 +84,121 @@
     const limits = this.#options.limits(team);
     if (limits === undefined)
       return refused('unavailable', UNAVAILABLE_RETRY_MS);
-    const held = this.#heldOf(team);
+    const held = this.#stateOf(team);
     const now = this.#options.clock.now();
     held.meter.record();
     if (this.#trySpend(held, limits)) {
-      if (held.tokens < this.#ahead(held) / 2) void this.#ask(team, held);
+      if (held.tokens < this.#prefetchTokens(held) / 2)
+        void this.#requestTokens(team, held);
       return ADMITTED;
     }
-    if (now < held.refusedUntil) return this.#refuse(held, limits);
-    for (let asked = 0; asked < MAX_ASKS; asked++) {
-      await this.#askForOne(team, held);
+    if (now < held.refusedUntilMs) return this.#refuse(held, limits);
+    for (let requests = 0; requests < MAX_REQUESTS; requests++) {
+      await this.#requestOneToken(team, held);
       if (this.#trySpend(held, limits)) return ADMITTED;
-      if (this.#options.clock.now() < held.refusedUntil) break;
+      if (this.#options.clock.now() < held.refusedUntilMs) break;
     }
-    if (this.#options.clock.now() < held.refusedUntil) {
+    if (this.#options.clock.now() < held.refusedUntilMs) {
       return this.#refuse(held, limits);
     }
-    if (this.#spendAlone(held, limits)) return ADMITTED;
+    if (this.#trySpendFallback(held, limits)) return ADMITTED;
     return refused('unavailable', UNAVAILABLE_RETRY_MS);
   }
 
-  #refuse(held: Held, {rate}: RateLimits): QuotaDecision {
-    const waitMs = held.refusedUntil - this.#options.clock.now();
-    const ownRate = rate * (held.share > 0 ? held.share : 1);
-    return refused('overRate', held.returns.next(waitMs, ownRate));
+  #refuse(held: TeamState, {rate}: RateLimits): QuotaDecision {
+    const waitMs = held.refusedUntilMs - this.#options.clock.now();
+    const shareRate = rate * (held.share > 0 ? held.share : 1);
+    return refused(
+      'overRate',
+      held.retrySpacing.nextDelayMs(waitMs, shareRate),
+    );
   }
 
-  async #askForOne(team: string, held: Held): Promise<void> {
+  async #requestOneToken(team: string, held: TeamState): Promise<void> {
     held.waiting += 1;
     try {
-      await this.#ask(team, held);
+      await this.#requestTokens(team, held);
     } finally {
       held.waiting -= 1;
     }
   }
 
-  #trySpend(held: Held, limits: RateLimits): boolean {
-    const age = this.#options.clock.now() - held.grantedAt;
-    if (age > GRANT_VALID_MS) held.tokens = 0;
+  #trySpend(held: TeamState, limits: RateLimits): boolean {
+    const ageMs = this.#options.clock.now() - held.grantedAtMs;
+    if (ageMs > GRANT_VALID_MS) held.tokens = 0;
     held.tokens = Math.min(held.tokens, Math.max(1, limits.burst));
     if (held.tokens < 1) return false;
     held.tokens -= 1;
     return true;
   }
 
-  #spendAlone(held: Held, limits: RateLimits): boolean {
+  #trySpendFallback(held: TeamState, limits: RateLimits): boolean {
     const {clock} = this.#options;
-    if (clock.now() - held.lastContactAt > ALONE_MS) return false;
+    if (clock.now() - held.lastContactAtMs > FALLBACK_MAX_MS) return false;
     const rate = limits.rate * held.share;
     if (rate <= 0) return false;
-    const size = {rate, burst: Math.max(1, (rate * ALONE_SAVED_MS) / 1_000)};
-    held.alone ??= new TokenBucket(clock, size, 1);
-    if (held.alone.size.rate > rate) held.alone.resize(size);
-    return held.alone.trySpend(1);
+    const size = {rate, burst: Math.max(1, (rate * FALLBACK_BURST_MS) / 1_000)};
+    held.fallbackBucket ??= new TokenBucket(clock, size, 1);
+    if (held.fallbackBucket.size.rate > rate) held.fallbackBucket.resize(size);
+    return held.fallbackBucket.trySpend(1);
   }
 
-  #ask(team: string, held: Held): Promise<void> {
-    held.asking ??= this.#exchange(team, held).finally(() => {
-      held.asking = undefined;
+  #requestTokens(team: string, held: TeamState): Promise<void> {
+    held.pendingRequest ??= this.#exchangeWithOwner(team, held).finally(() => {
+      held.pendingRequest = undefined;
     });
-    return held.asking;
+    return held.pendingRequest;
   }
 
-  async #exchange(team: string, held: Held): Promise<void> {
+  async #exchangeWithOwner(team: string, held: TeamState): Promise<void> {
     const {clock, log, ask} = this.#options;
     const wanted = Math.ceil(
-      Math.max(0, this.#ahead(held) - held.tokens) + held.waiting,
+      Math.max(0, this.#prefetchTokens(held) - held.tokens) + held.waiting,
     );
     let reply: TokenReply;
-    const sentAt = clock.now();
+    const sentAtMs = clock.now();
     try {
       reply = await ask({team, wanted: Math.max(1, wanted)});
     } catch (err) {
-      // The caller is refused, or goes on at its share: `admit` decides.
+      // `admit` refuses the operation or uses the fallback bucket.
       log.info('budgetOwnerUnreachable', {
         team,
         message: err instanceof Error ? err.message : String(err),
-        contactMsAgo: Math.round(sentAt - held.lastContactAt),
+        contactMsAgo: Math.round(sentAtMs - held.lastContactAtMs),
       });
       return;
     }
     if (reply.kind === 'notOwner') return;
-    held.alone = undefined;
-    held.lastContactAt = sentAt;
+    held.fallbackBucket = undefined;
+    held.lastContactAtMs = sentAtMs;
     held.share = reply.share;
-    if (sentAt - held.grantedAt > GRANT_VALID_MS) held.tokens = 0;
+    if (sentAtMs - held.grantedAtMs > GRANT_VALID_MS) held.tokens = 0;
     held.tokens += reply.tokens;
-    if (reply.tokens > 0) held.grantedAt = sentAt;
+    if (reply.tokens > 0) held.grantedAtMs = sentAtMs;
     const isShort = reply.tokens < held.waiting;
-    held.refusedUntil = isShort ? clock.now() + reply.retryAfterMs : 0;
+    held.refusedUntilMs = isShort ? clock.now() + reply.retryAfterMs : 0;
   }
 
-  #ahead(held: Held): number {
-    return (held.meter.perSecond * AHEAD_MS) / 1_000;
+  #prefetchTokens(held: TeamState): number {
+    return (held.meter.perSecond * PREFETCH_MS) / 1_000;
   }
 
-  #heldOf(team: string): Held {
-    const known = this.#held.get(team);
+  #stateOf(team: string): TeamState {
+    const known = this.#teams.get(team);
     if (known !== undefined) return known;
-    const held: Held = {
+    const held: TeamState = {
       meter: new DemandMeter(this.#options.clock),
       tokens: 0,
-      grantedAt: -Infinity,
+      grantedAtMs: -Infinity,
       waiting: 0,
-      asking: undefined,
-      refusedUntil: 0,
-      returns: new ReturnTimes(this.#options.clock),
-      lastContactAt: -Infinity,
+      pendingRequest: undefined,
+      refusedUntilMs: 0,
+      retrySpacing: new RetrySpacing(this.#options.clock),
+      lastContactAtMs: -Infinity,
       share: 0,
-      alone: undefined,
+      fallbackBucket: undefined,
     };
-    this.#held.set(team, held);
+    this.#teams.set(team, held);
     return held;
   }
 }
--- a/src/quota/budget-owner.ts
+++ b/src/quota/budget-owner.ts
@@ -1,67 +1,69 @@
 /**
- * The owner's side of the team budgets: one budget a team, from which the
- * holders take what they spend.
+ * The owner's side of the team budgets: one budget for each team, from which
+ * holders request the tokens that they spend.
  *
  * Load pattern: one team sends many times its rate while the others stay below
- * theirs, over nodes that see uneven parts of each team. One budget for the
- * whole fleet refuses nobody who is inside the rate, however uneven the parts.
+ * theirs, and the load of each team is uneven over the nodes. A single budget
+ * for the whole fleet refuses no team within its rate, however uneven its load.
  *
  * A node owns a budget while it holds its lease and ranks first for the team
- * among the members. A new owner knows nothing of what the old one granted, so
- * its budget begins empty and fills at the team's bare rate for one window: what
- * the old owner granted beyond that within a window spends part of its own.
+ * among the members. A new owner does not know what the old one granted, so its
+ * budget starts empty and refills at the rate alone, without any burst, for one
+ * window. The burst that it withholds covers what the old owner granted beyond
+ * the rate in that window.
  *
- * While the owner is silent, and until its lease ends, the next node stands in
- * at a part of the rate: the owner may still serve others.
+ * While the owner does not answer and its lease has not ended, the next node
+ * acts as a stand-in with a part of the rate, as the owner may still serve
+ * other holders.
  */
 import type {Clock} from '../infra/clock.js';
 import type {RateLimits, TokenReply, TokenRequest} from './types.js';
 import {WindowBudget} from './window-budget.js';
 
-/** The time over which a holder's part of the grants is measured. */
+/** Interval after which the weight of earlier grants is halved. */
 const SHARE_WINDOW_MS = 2_000;
 const MIN_RETRY_MS = 20;
 
 /**
- * Part of the rate that a stand-in grants. An owner that is cut off goes on for
- * less than two seconds; both together then stay within a tenth over the rate
- * in five seconds, as long as the burst is about a second of the rate.
+ * Part of the rate that a stand-in grants. A partitioned owner keeps granting
+ * for less than two seconds. Together the two then exceed the rate by at most a
+ * tenth over five seconds, if the burst is about one second of the rate.
  */
-const STAND_IN_SHARE = 0.3;
+const STAND_IN_RATE_RATIO = 0.3;
 
-/** This node's part in a team's budget. */
+/** This node's role for a team's budget. */
 export type BudgetRole = 'owner' | 'standIn' | 'none';
 
-/** What the owner's side is built from. */
+/** Options of the owner's side. */
 export interface BudgetOwnerOptions {
   readonly clock: Clock;
-  /** This node's part in the team's budget now; never keep it. */
+  /** Returns this node's current role for a team; evaluated on each request. */
   readonly roleFor: (team: string) => BudgetRole;
-  /** How long it has been in the position to own budgets, in milliseconds. */
+  /** Returns for how many milliseconds this node has been able to own budgets. */
   readonly heldForMs: () => number;
   readonly limits: (team: string) => RateLimits | undefined;
-  /** Length of the windows for which the limits hold, in milliseconds. */
+  /** Length of the sliding window of the limits, in milliseconds. */
   readonly windowMs: number;
 }
 
-interface Owned {
+interface OwnedBudget {
   readonly budget: WindowBudget;
-  /** Tokens granted lately by holder, halved each window. */
+  /** Recently granted tokens by holder, halved every `SHARE_WINDOW_MS`. */
   readonly granted: Map<string, number>;
-  halvedAt: number;
+  halvedAtMs: number;
 }
 
 /** Grants tokens of the budgets that this node owns. */
 export class BudgetOwner {
   readonly #options: BudgetOwnerOptions;
-  readonly #owned = new Map<string, Owned>();
+  readonly #owned = new Map<string, OwnedBudget>();
 
   constructor(options: BudgetOwnerOptions) {
     this.#options = options;
   }
 
   /**
-   * Serves one request of a holder.
+   * Serves one token request of a holder.
    *
    * @example
    * owner.serve('node-1', {team: 'red', wanted: 3});
@@ -76,10 +78,10 @@
     if (limits === undefined || limits.rate <= 0) {
       return {kind: 'granted', tokens: 0, retryAfterMs: 1_000, share: 0};
     }
-    const owned = this.#ownedOf(req.team, limits, role);
+    const owned = this.#ownedBudgetOf(req.team, limits, role);
     const {budget} = owned;
     const tokens = budget.drain(req.wanted);
-    this.#note(owned, holder, tokens);
+    this.#recordGrant(owned, holder, tokens);
     return {
       kind: 'granted',
       tokens,
@@ -91,11 +93,15 @@
   #limitsFor(team: string, role: BudgetRole): RateLimits | undefined {
     const limits = this.#options.limits(team);
     if (limits === undefined || role === 'owner') return limits;
-    const rate = limits.rate * STAND_IN_SHARE;
+    const rate = limits.rate * STAND_IN_RATE_RATIO;
     return {rate, burst: Math.max(1, rate)};
   }
 
-  #ownedOf(team: string, limits: RateLimits, role: BudgetRole): Owned {
+  #ownedBudgetOf(
+    team: string,
+    limits: RateLimits,
+    role: BudgetRole,
+  ): OwnedBudget {
     const {clock, heldForMs, windowMs} = this.#options;
     const size = {rate: limits.rate, burst: Math.max(1, limits.burst)};
     const known = this.#owned.get(team);
@@ -105,23 +111,23 @@
       return known;
     }
     const heldMs = role === 'owner' ? heldForMs() : 0;
-    const earned = (size.rate * heldMs) / 1_000;
+    const accrued = (size.rate * heldMs) / 1_000;
     const budget = new WindowBudget({
       clock,
       limits: size,
       windowMs,
-      tokens: Math.min(size.burst, earned),
+      tokens: Math.min(size.burst, accrued),
       completeFrom: clock.now() + windowMs - heldMs,
     });
-    const owned = {budget, granted: new Map(), halvedAt: clock.now()};
+    const owned = {budget, granted: new Map(), halvedAtMs: clock.now()};
     this.#owned.set(team, owned);
     return owned;
   }
 
-  #note(owned: Owned, holder: string, tokens: number): void {
+  #recordGrant(owned: OwnedBudget, holder: string, tokens: number): void {
     const now = this.#options.clock.now();
-    if (now - owned.halvedAt >= SHARE_WINDOW_MS) {
-      owned.halvedAt = now;
+    if (now - owned.halvedAtMs >= SHARE_WINDOW_MS) {
+      owned.halvedAtMs = now;
       for (const [id, count] of owned.granted) {
         if (count < 1) owned.granted.delete(id);
         else owned.granted.set(id, count / 2);
--- a/src/quota/return-times.ts
+++ b/src/quota/return-times.ts
@@ -1,43 +1,46 @@
 /**
- * Tells callers who were refused when to come back.
+ * Spaces the retries of refused callers.
  *
- * Load pattern: many callers come at once, after a restart or with a peak of
- * their team, and find nothing left of its rate. Told the same moment, all but
- * the first would come in vain and use up their attempts. Each is therefore
- * told its own, at the pace at which the rate has room for them.
+ * Load pattern: many callers arrive at once, after a restart or in a peak of
+ * their team, and the rate is used up. If all were given the same retry time,
+ * all but the first would be refused again until they run out of attempts. Each
+ * caller is therefore given its own retry time, spaced by a part of the rate.
  */
 import type {Clock} from '../infra/clock.js';
 
-/** Part of the rate that returning callers may count on; others come as well. */
-const RETURN_SHARE = 0.5;
-/** No caller is told to wait for longer: it has a time limit of its own. */
-const MAX_RETURN_MS = 1_500;
+/** Part of the rate that is planned for retries; new callers need the rest. */
+const RETRY_RATE_RATIO = 0.5;
+/** Maximum retry delay: callers have time limits of their own. */
+const MAX_RETRY_DELAY_MS = 1_500;
 
 /**
+ * Computes the retry delays of one team's refused callers.
+ *
  * @example
  * const times = new ReturnTimes(clock);
- * refuse(times.next(20, 40));
+ * refuse(spacing.nextDelayMs(20, 40));
  */
-export class ReturnTimes {
+export class RetrySpacing {
   readonly #clock: Clock;
-  #lastAt = -Infinity;
+  #lastRetryAtMs = -Infinity;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
   /**
-   * Milliseconds after which the next caller should come back.
+   * Returns the milliseconds after which the next refused caller should retry.
    *
-   * @param earliestMs when there is room at the earliest
-   * @param rate operations a second that there is room for
+   * @param earliestMs time until the first token is expected
+   * @param rate operations a second that can be admitted
    */
-  next(earliestMs: number, rate: number): number {
+  nextDelayMs(earliestMs: number, rate: number): number {
     const now = this.#clock.now();
-    const gapMs = rate > 0 ? 1_000 / (rate * RETURN_SHARE) : MAX_RETURN_MS;
-    const at = Math.max(now + earliestMs, this.#lastAt + gapMs);
-    if (at - now > MAX_RETURN_MS) return MAX_RETURN_MS;
-    this.#lastAt = at;
+    const gapMs =
+      rate > 0 ? 1_000 / (rate * RETRY_RATE_RATIO) : MAX_RETRY_DELAY_MS;
+    const at = Math.max(now + earliestMs, this.#lastRetryAtMs + gapMs);
+    if (at - now > MAX_RETRY_DELAY_MS) return MAX_RETRY_DELAY_MS;
+    this.#lastRetryAtMs = at;
     return Math.max(1, Math.ceil(at - now));
   }
 }
--- a/src/quota/types.ts
+++ b/src/quota/types.ts
@@ -1,33 +1,34 @@
-/** Messages between the holder and the owner of a team's budget. */
+/** Messages between the holders and the owner of a team's budget. */
 
-/** A holder asks for tokens. */
+/** A holder's request for tokens. */
 export interface TokenRequest {
   readonly team: string;
   /** Tokens wanted now. */
   readonly wanted: number;
 }
 
-/** The owner's answer. */
+/** The owner's reply. */
 export type TokenReply =
   | {
       readonly kind: 'granted';
       readonly tokens: number;
-      /** When there may be more, in milliseconds. */
+      /** Time in milliseconds until more tokens may be available. */
       readonly retryAfterMs: number;
-      /** The holder's part of all that was granted lately, from 0 to 1. */
+      /** The holder's fraction of all recently granted tokens, from 0 to 1. */
       readonly share: number;
     }
-  /** The node that was asked does not own the budget, or may not act on it. */
+  /** The node does not own the budget, or may not grant from it now. */
   | {readonly kind: 'notOwner'};
 
-/** The limits of a team over all nodes. */
+/** A team's rate limit over all nodes together. */
 export interface RateLimits {
   /** Operations a second. */
   readonly rate: number;
+  /** Operations admitted at once, on top of the rate. */
   readonly burst: number;
 }
 
-/** Whether an operation may run. */
+/** The admission decision for one operation. */
 export type QuotaDecision =
   | {readonly kind: 'admitted'}
   | {
--- a/src/quota/window-budget.ts
+++ b/src/quota/window-budget.ts
@@ -1,61 +1,63 @@
 /**
- * What one team may still spend: no more than its rate times a window and one
- * burst in any window of that length.
+ * A token bucket with a sliding-window bound: in any window it grants at most
+ * the rate times the window's length plus one burst.
  *
- * Load pattern: a team that asks for somewhat more than its rate, for long. A
- * token bucket alone grants a burst once and the bare rate from then on,
- * though each window has room for the burst again. This budget refills by part
- * of the burst as well, and counts what was granted within the window, so that
- * no window exceeds its bound.
+ * Load pattern: a team that requests somewhat more than its rate for a long
+ * time. A plain token bucket grants the burst once and only the rate from then
+ * on, although each window would allow the burst again. This budget therefore
+ * refills faster, by part of the burst in each window, and counts the grants in
+ * the window, so that no window exceeds its bound.
  */
 import {TokenBucket} from '../admission/token-bucket.js';
 import type {Clock} from '../infra/clock.js';
 import type {RateLimits} from './types.js';
 
-/** Parts of a window in which grants are counted together. */
-const PARTS = 50;
+/** Number of parts of a window; grants are counted by part. */
+const PARTS_PER_WINDOW = 50;
 /**
- * Part of the burst that each window is granted again. The rest covers what
- * holders were granted and have not spent, and owners that overlap for a while.
+ * Part of the burst that is refilled in each window. The rest covers tokens that
+ * holders have not spent yet, and times when two owners overlap.
  */
-const BURST_PART = 0.5;
+const BURST_REFILL_RATIO = 0.5;
 
-/** What a budget is built from. */
+/** Options of a window budget. */
 export interface WindowBudgetOptions {
   readonly clock: Clock;
   readonly limits: RateLimits;
-  /** Length of the windows, in milliseconds. */
+  /** Length of the sliding window, in milliseconds. */
   readonly windowMs: number;
-  /** Tokens to begin with. */
+  /** Initial number of tokens. */
   readonly tokens: number;
   /**
-   * When grants that this budget does not know of no longer count, on the
-   * clock. It refills at the bare rate until then.
+   * Monotonic time from which the window contains only grants that this budget
+   * has counted itself. Until then it refills at the rate alone.
    */
   readonly completeFrom: number;
 }
 
 /**
+ * Grants the tokens of one team's budget.
+ *
  * @example
  * const budget = new WindowBudget({clock, limits: {rate: 100, burst: 100},
- *   windowMs: 5_000, tokens: 100, completeFrom: clock.now()});
+ *   windowMs: 5_000, tokens: 100, historyCompleteAtMs: clock.now()});
  * const granted = budget.drain(3);
  */
 export class WindowBudget {
   readonly #clock: Clock;
   readonly #windowMs: number;
-  #completeFrom: number;
+  #historyCompleteAtMs: number;
   readonly #bucket: TokenBucket;
   /** Grants by part of a window, the oldest first. */
   readonly #granted: {readonly part: number; count: number}[] = [];
   #limits: RateLimits;
-  #inWindow = 0;
+  #grantedInWindow = 0;
 
   constructor(options: WindowBudgetOptions) {
     const {clock, limits, windowMs, tokens, completeFrom} = options;
     this.#clock = clock;
     this.#windowMs = windowMs;
-    this.#completeFrom = completeFrom;
+    this.#historyCompleteAtMs = completeFrom;
     this.#limits = limits;
     this.#bucket = new TokenBucket(clock, this.#bucketSize(), tokens);
   }
@@ -64,61 +66,70 @@
     return this.#limits;
   }
 
-  /** Takes as many whole tokens as there are, up to `wanted`. */
+  /** Takes up to `wanted` whole tokens and returns the number taken. */
   drain(wanted: number): number {
     this.#refresh();
-    const count = Math.min(wanted, this.#bucket.tokens, this.#room);
+    const count = Math.min(
+      wanted,
+      this.#bucket.tokens,
+      this.#remainingInWindow,
+    );
     const taken = this.#bucket.drain(Math.floor(count));
-    this.#note(taken);
+    this.#recordGrant(taken);
     return taken;
   }
 
-  /** Milliseconds until there is one token. */
+  /** Milliseconds until one token is available. */
   msUntilOne(): number {
     this.#refresh();
     const [oldest] = this.#granted;
-    const isFull = this.#room < 1 && oldest !== undefined;
-    const roomAt = isFull ? (oldest.part + PARTS + 1) * this.#partMs : 0;
-    const roomInMs = Math.max(0, roomAt - this.#clock.now());
-    return Math.max(roomInMs, this.#bucket.msUntil(1));
+    const isFull = this.#remainingInWindow < 1 && oldest !== undefined;
+    const roomAtMs = isFull
+      ? (oldest.part + PARTS_PER_WINDOW + 1) * this.#partMs
+      : 0;
+    const untilRoomMs = Math.max(0, roomAtMs - this.#clock.now());
+    return Math.max(untilRoomMs, this.#bucket.msUntil(1));
   }
 
-  /** Changes the limits; a lower one holds for the windows that begin now. */
+  /**
+   * Changes the limits. Lower limits apply to windows that begin now, so that
+   * grants made under the higher ones no longer count.
+   */
   resize(limits: RateLimits): void {
     this.#refresh();
     if (limits.rate < this.#limits.rate || limits.burst < this.#limits.burst) {
       this.#granted.length = 0;
-      this.#inWindow = 0;
-      this.#completeFrom = this.#clock.now() + this.#windowMs;
+      this.#grantedInWindow = 0;
+      this.#historyCompleteAtMs = this.#clock.now() + this.#windowMs;
     }
     this.#limits = limits;
     this.#bucket.resize(this.#bucketSize());
   }
 
   get #partMs(): number {
-    return this.#windowMs / PARTS;
+    return this.#windowMs / PARTS_PER_WINDOW;
   }
 
-  /** Tokens that the window which ends now has room for. */
-  get #room(): number {
+  /** Tokens that may still be granted in the window that ends now. */
+  get #remainingInWindow(): number {
     const {rate, burst} = this.#limits;
-    return (rate * this.#windowMs) / 1_000 + burst - this.#inWindow;
+    return (rate * this.#windowMs) / 1_000 + burst - this.#grantedInWindow;
   }
 
   #bucketSize(): RateLimits {
     const {rate, burst} = this.#limits;
-    const isComplete = this.#clock.now() >= this.#completeFrom;
+    const isComplete = this.#clock.now() >= this.#historyCompleteAtMs;
     const windowS = this.#windowMs / 1_000;
-    const extra = isComplete ? (burst * BURST_PART) / windowS : 0;
+    const extra = isComplete ? (burst * BURST_REFILL_RATIO) / windowS : 0;
     return {rate: rate + extra, burst};
   }
 
   #refresh(): void {
     const size = this.#bucketSize();
     if (size.rate !== this.#bucket.size.rate) this.#bucket.resize(size);
-    const oldest = this.#currentPart - PARTS;
+    const oldest = this.#currentPart - PARTS_PER_WINDOW;
     while ((this.#granted[0]?.part ?? oldest) < oldest) {
-      this.#inWindow -= this.#granted.shift()?.count ?? 0;
+      this.#grantedInWindow -= this.#granted.shift()?.count ?? 0;
     }
   }
 
@@ -126,11 +137,11 @@
     return Math.floor(this.#clock.now() / this.#partMs);
   }
 
-  #note(count: number): void {
+  #recordGrant(count: number): void {
     const last = this.#granted.at(-1);
     const part = this.#currentPart;
     if (last?.part === part) last.count += count;
     else this.#granted.push({part, count});
-    this.#inWindow += count;
+    this.#grantedInWindow += count;
   }
 }
--- a/test/admission/adaptive-limit.ts
+++ b/test/admission/adaptive-limit.ts
@@ -1,4 +1,4 @@
-const MAX_EXTRA = 4;
+const MAX_EXTRA_STATEMENTS = 4;
 /** Latency over this multiple of the least counts as queueing. */
 const QUEUEING_RATIO = 2;
 const DECREASE_RATIO = 0.9;
@@ -23,17 +23,17 @@
   }
 
   record(latencyMs: number, concurrency: number): void {
-    this.#noteLeast(latencyMs);
+    this.#recordLeast(latencyMs);
     if (latencyMs > QUEUEING_RATIO * this.#leastMs) {
       this.#limit = Math.max(this.#slots, this.#limit * DECREASE_RATIO);
       return;
     }
     if (concurrency < this.value) return;
-    const most = this.#slots + MAX_EXTRA;
+    const most = this.#slots + MAX_EXTRA_STATEMENTS;
     this.#limit = Math.min(most, this.#limit + 1 / this.#limit);
   }
 
-  #noteLeast(latencyMs: number): void {
+  #recordLeast(latencyMs: number): void {
     this.#nextLeastMs = Math.min(this.#nextLeastMs, latencyMs);
     this.#leastMs = Math.min(this.#leastMs, latencyMs);
     this.#answers += 1;
--- a/test/admission/budget-failures.test.ts
+++ b/test/admission/budget-failures.test.ts
@@ -1,6 +1,6 @@
 import {expect, test} from 'vitest';
 import {budgetKey} from '../../src/admission/budget-record.js';
-import {NO_SHARE} from '../../src/admission/share.js';
+import {EMPTY_SHARE} from '../../src/admission/share.js';
 import type {SyncMessage} from '../../src/admission/types.js';
 import {Cluster, STANDING_LIMIT_MS, type ClusterNode} from './cluster.js';
 import {worstExcess} from './law.js';
@@ -111,20 +111,20 @@
   const owner = ownerOf(cluster);
   const frozen = otherThan(cluster, owner);
   // The platform goes on listing it, so nobody retires it.
-  frozen.seenAtMs = Infinity;
+  frozen.listedAtMs = Infinity;
   frozen.clock.pause();
   await cluster.time.advance(500);
   cluster.retire(owner);
   await cluster.time.advance(10_000);
   const resumedMs = cluster.time.now();
   // The share was free meanwhile; only a new one may be spent.
-  frozen.isMuted = true;
+  frozen.isPeerTrafficLost = true;
   frozen.clock.resume();
   await cluster.time.advance(1_100);
   expect(admittedBetween(cluster, resumedMs, resumedMs + 1_100, frozen)).toBe(
     0,
   );
-  frozen.isMuted = false;
+  frozen.isPeerTrafficLost = false;
   await cluster.time.advance(10_000);
   expect(admittedBetween(cluster, resumedMs, Infinity, frozen)).toBeGreaterThan(
     100,
@@ -159,7 +159,7 @@
     others.map(node => node.ref),
   );
   const muted = others.find(node => node.ref !== order[0])!;
-  muted.isMuted = true;
+  muted.isPeerTrafficLost = true;
   const retiredMs = cluster.time.now();
   cluster.retire(owner);
   await cluster.time.advance(15_000);
@@ -176,14 +176,14 @@
   const cluster = createCluster(3, 400);
   await cluster.time.advance(5_000);
   for (const node of [ownerOf(cluster), otherThan(cluster, ownerOf(cluster))]) {
-    node.isCut = true;
+    node.isPartitioned = true;
     const cutMs = cluster.time.now();
     await cluster.time.advance(5_000);
     expect(
       admittedBetween(cluster, cutMs, cutMs + 3_000, node),
     ).toBeGreaterThan(0);
     expect(admittedBetween(cluster, cutMs + 3_000, Infinity, node)).toBe(0);
-    node.isCut = false;
+    node.isPartitioned = false;
     await cluster.time.advance(5_000);
   }
   await cluster.stop();
@@ -227,11 +227,11 @@
   ).map(ref => cluster.nodes.find(node => node.ref === ref)!);
   const [first, second, , last] = order;
   expect(ownerOf(cluster)).toBe(first);
-  last!.isMuted = true;
+  last!.isPeerTrafficLost = true;
   void cluster.leave(first!);
   await cluster.time.advance(900);
   // The platform goes on listing it, so nobody retires it.
-  first!.seenAtMs = Infinity;
+  first!.listedAtMs = Infinity;
   await cluster.time.advance(1_000);
   expect(ownerOf(cluster)).toBe(second);
   cluster.retire(second!);
@@ -312,7 +312,7 @@
     seq: 1_000_000,
     heldEpoch: 0,
     knownEpoch: 1,
-    held: NO_SHARE,
+    held: EMPTY_SHARE,
     tokens: 0,
     tokensBack: 0,
     demand: 0,
--- a/test/admission/cluster.ts
+++ b/test/admission/cluster.ts
@@ -13,7 +13,7 @@
 
 export const STANDING_LIMIT_MS = 3_000;
 const HEARTBEAT_MS = 100;
-const LIST_LAG_MS = 1_000;
+const LISTING_LAG_MS = 1_000;
 
 /** Faults of the network between nodes. */
 export interface NetworkFaults {
@@ -51,12 +51,12 @@
 /** A process of the cluster and what it has heard. */
 export class ClusterNode {
   isDead = false;
-  isCut = false;
+  isPartitioned = false;
   /** Its calls fail, but it hears of the configuration. */
-  isMuted = false;
+  isPeerTrafficLost = false;
   /** When the platform last saw it answer. */
-  seenAtMs = 0;
-  heardAtMs: number;
+  listedAtMs = 0;
+  lastHeartbeatAtMs: number;
   limits: ReadonlyMap<string, BudgetLimits>;
   retired: ReadonlySet<string>;
 
@@ -65,7 +65,7 @@
     readonly clock: NodeClock,
     config: ConfigDocument,
   ) {
-    this.heardAtMs = clock.now();
+    this.lastHeartbeatAtMs = clock.now();
     this.limits = new Map(config.limits);
     this.retired = new Set(config.retired);
   }
@@ -75,7 +75,7 @@
   }
 
   standing(isStoreDown: boolean): Standing {
-    const silentMs = this.clock.now() - this.heardAtMs;
+    const silentMs = this.clock.now() - this.lastHeartbeatAtMs;
     if (silentMs >= STANDING_LIMIT_MS) return 'cutOff';
     return isStoreDown ? 'outage' : 'current';
   }
@@ -138,7 +138,7 @@
       },
       options: {standingLimitMs: STANDING_LIMIT_MS},
     });
-    node.seenAtMs = this.time.now();
+    node.listedAtMs = this.time.now();
     this.nodes.push(node);
     this.services.set(ref.instance, service);
     service.start();
@@ -223,15 +223,15 @@
   #live(): readonly NodeRef[] {
     const nowMs = this.time.now();
     return this.nodes
-      .filter(node => nowMs < node.seenAtMs + LIST_LAG_MS)
+      .filter(node => nowMs < node.listedAtMs + LISTING_LAG_MS)
       .map(node => node.ref);
   }
 
   #heartbeat(): void {
     for (const node of this.nodes) {
-      if (!node.isRunning || node.isCut) continue;
-      node.seenAtMs = this.time.now();
-      node.heardAtMs = node.clock.now();
+      if (!node.isRunning || node.isPartitioned) continue;
+      node.listedAtMs = this.time.now();
+      node.lastHeartbeatAtMs = node.clock.now();
       node.limits = new Map(this.#config.limits);
       node.retired = new Set(this.#config.retired);
     }
@@ -240,7 +240,7 @@
 
   async #retire(node: ClusterNode, instance: string): Promise<void> {
     await node.clock.sleep(2);
-    if (this.store.isDown || node.isCut) {
+    if (this.store.isDown || node.isPartitioned) {
       throw new StoreError('notSent', 'the store does not answer');
     }
     this.#config.retired.add(instance);
@@ -277,7 +277,9 @@
       const isSlow = this.random.next() < slowRatio;
       const delayMs = 0.8 + this.random.next() * (isSlow ? slowMs : 0.6);
       this.time.schedule(delayMs, () => {
-        const isLost = [from, to].some(one => one.isCut || one.isMuted);
+        const isLost = [from, to].some(
+          one => one.isPartitioned || one.isPeerTrafficLost,
+        );
         if (isLost || to.isDead) return;
         to.clock.whenRunning(() => {
           if (!to.isDead) run();
--- a/test/admission/prepare.test.ts
+++ b/test/admission/ensure-owners.test.ts
@@ -23,7 +23,7 @@
 
 test('a statement is served though the first choice does not run yet', async () => {
   const clock = new VirtualClock();
-  const store = new RecordStore().seenBy({clock, isCut: false});
+  const store = new RecordStore().seenBy({clock, isPartitioned: false});
   const self = {vm: 'vm1', instance: 'vm1/a'};
   const starting = {vm: 'vm2', instance: 'vm2/a'};
   const service = new BudgetService({
--- a/test/admission/fair-queue.test.ts
+++ b/test/admission/fair-queue.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {
   FairQueue,
-  ORDINARY_EVERY,
+  ORDINARY_DISPATCH_INTERVAL,
   type WorkClass,
 } from '../../src/admission/fair-queue.js';
 import {ManualClock} from './manual-clock.js';
@@ -96,8 +96,8 @@
     if (taken?.kind === 'run') order.push(taken.item.class);
   }
   expect(order[0]).toBe('urgent');
-  for (let i = 0; i + ORDINARY_EVERY <= order.length; i++) {
-    const window = order.slice(i, i + ORDINARY_EVERY);
+  for (let i = 0; i + ORDINARY_DISPATCH_INTERVAL <= order.length; i++) {
+    const window = order.slice(i, i + ORDINARY_DISPATCH_INTERVAL);
     expect(window.filter(cls => cls === 'ordinary')).toHaveLength(1);
   }
 });
--- a/test/admission/law.ts
+++ b/test/admission/law.ts
@@ -6,7 +6,7 @@
   readonly limits: BudgetLimits;
 }
 
-const ROUNDING = 1e-3;
+const ROUNDING_TOLERANCE = 1e-3;
 
 /**
  * By how many statements the admissions exceed the law in the worst window;
@@ -17,7 +17,7 @@
   changes: readonly LimitsChange[],
   lagMs: number,
 ): number {
-  const first = inForce(changes, 0, 0);
+  const first = largestLimitsBetween(changes, 0, 0);
   let level = first.burst;
   let limits = first;
   let atMs = 0;
@@ -31,17 +31,17 @@
     level = Math.min(limits.burst, level + refill) - moment.spend;
     atMs = moment.atMs;
     worst = Math.max(worst, -level);
-    const next = inForce(changes, atMs - lagMs, atMs);
+    const next = largestLimitsBetween(changes, atMs - lagMs, atMs);
     // A window that spans a rise counts with the larger burst.
     if (next.burst > limits.burst) level = next.burst;
     limits = next;
   }
   if (Number.isNaN(worst)) throw new Error('a moment is not a number');
-  return worst > ROUNDING ? worst : 0;
+  return worst > ROUNDING_TOLERANCE ? worst : 0;
 }
 
 /** The largest limits in force between two moments. */
-function inForce(
+function largestLimitsBetween(
   changes: readonly LimitsChange[],
   fromMs: number,
   toMs: number,
--- a/test/admission/record-store.ts
+++ b/test/admission/record-store.ts
@@ -11,7 +11,7 @@
 /** What bears on whether a node reaches the store. */
 export interface StoreClient {
   readonly clock: Clock;
-  readonly isCut: boolean;
+  readonly isPartitioned: boolean;
 }
 
 /** The calls that budgets make to the store, with outages and lost answers. */
@@ -68,7 +68,7 @@
 
   async #reach(client: StoreClient): Promise<void> {
     await client.clock.sleep(this.latencyMs);
-    if (!this.isDown && !client.isCut) return;
+    if (!this.isDown && !client.isPartitioned) return;
     throw new StoreError('notSent', 'the store does not answer');
   }
 
--- a/test/admission/retirement.test.ts
+++ b/test/admission/retirement.test.ts
@@ -44,27 +44,27 @@
 
 test('a share is free two standing limits after its holder was retired', () => {
   const {clock, retired, timers} = createFixture();
-  expect(timers.isSafe('i2')).toBe(false);
+  expect(timers.isReclaimable('i2')).toBe(false);
   retired.add('i2');
-  expect(timers.isSafe('i2')).toBe(false);
+  expect(timers.isReclaimable('i2')).toBe(false);
   clock.advance(5_999);
-  expect(timers.isSafe('i2')).toBe(false);
+  expect(timers.isReclaimable('i2')).toBe(false);
   clock.advance(1);
-  expect(timers.isSafe('i2')).toBe(true);
+  expect(timers.isReclaimable('i2')).toBe(true);
 });
 
 test('time counts anew once the owner was cut off', () => {
   const {clock, retired, state, timers} = createFixture();
   retired.add('i2');
-  timers.isSafe('i2');
+  timers.isReclaimable('i2');
   clock.advance(5_000);
   state.standing = 'cutOff';
-  timers.check();
+  timers.resetIfCutOff();
   state.standing = 'current';
   clock.advance(5_000);
-  expect(timers.isSafe('i2')).toBe(false);
+  expect(timers.isReclaimable('i2')).toBe(false);
   clock.advance(6_000);
-  expect(timers.isSafe('i2')).toBe(true);
+  expect(timers.isReclaimable('i2')).toBe(true);
 });
 
 test('retires an instance only when it has long been missing', async () => {
--- a/test/admission/schedule.ts
+++ b/test/admission/schedule.ts
@@ -151,8 +151,8 @@
     case 'cut':
       return cut(cluster, node, event.forMs);
     case 'mute':
-      node.isMuted = true;
-      return later(() => void (node.isMuted = false));
+      node.isPeerTrafficLost = true;
+      return later(() => void (node.isPeerTrafficLost = false));
     case 'cutAndRetire':
       cut(cluster, node, event.forMs);
       return replaceRetired(cluster, node);
@@ -179,9 +179,9 @@
 }
 
 function cut(cluster: Cluster, node: ClusterNode, forMs: number): void {
-  node.isCut = true;
+  node.isPartitioned = true;
   cluster.time.schedule(forMs, () => {
-    node.isCut = false;
+    node.isPartitioned = false;
   });
 }
 
--- a/test/admission/team-holder.test.ts
+++ b/test/admission/team-holder.test.ts
@@ -1,13 +1,13 @@
 import {expect, test} from 'vitest';
 import {SPEND_VALID_MS} from '../../src/admission/remote-spends.js';
-import {NO_SHARE, tokensIn, WHOLE} from '../../src/admission/share.js';
+import {EMPTY_SHARE, tokensIn, WHOLE_SHARE} from '../../src/admission/share.js';
 import {SpendGuard} from '../../src/admission/spend-guard.js';
 import {TeamHolder} from '../../src/admission/team-holder.js';
 import type {GrantReply, Share, Standing} from '../../src/admission/types.js';
 import {ManualClock} from './manual-clock.js';
 
 const LIMITS = {rate: 100, burst: 50};
-const HALF: Share = {rate: WHOLE.rate / 2, burst: WHOLE.burst / 2};
+const HALF: Share = {rate: WHOLE_SHARE.rate / 2, burst: WHOLE_SHARE.burst / 2};
 const CONTEXT = {
   team: 'assessors',
   holder: 'i1',
@@ -52,42 +52,46 @@
 
 test('takes one answer, and only the one it awaits', () => {
   const {holder} = createHolder();
-  expect(holder.accept(createGrant(), 2)).toBe(false);
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.giveUp(1);
-  expect(holder.accept(createGrant(), 2)).toBe(false);
-  holder.beginSync('ask', {...CONTEXT, seq: 2});
-  expect(holder.accept(createGrant(), 2)).toBe(false);
-  holder.beginSync('ask', {...CONTEXT, seq: 3});
-  expect(holder.accept(createGrant({seq: 3}), 2)).toBe(true);
-  expect(holder.accept(createGrant({seq: 3}), 2)).toBe(false);
+  expect(holder.acceptGrant(createGrant(), 2)).toBe(false);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.cancelSync(1);
+  expect(holder.acceptGrant(createGrant(), 2)).toBe(false);
+  holder.beginSync('acquire', {...CONTEXT, seq: 2});
+  expect(holder.acceptGrant(createGrant(), 2)).toBe(false);
+  holder.beginSync('acquire', {...CONTEXT, seq: 3});
+  expect(holder.acceptGrant(createGrant({seq: 3}), 2)).toBe(true);
+  expect(holder.acceptGrant(createGrant({seq: 3}), 2)).toBe(false);
   expect(holder.tokens).toBe(5);
 });
 
 test('takes no answer of an older epoch or of a retired owner', () => {
   const {holder, retired} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  expect(holder.accept(createGrant({epoch: 1}), 2)).toBe(false);
-  holder.beginSync('ask', {...CONTEXT, seq: 2});
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  expect(holder.acceptGrant(createGrant({epoch: 1}), 2)).toBe(false);
+  holder.beginSync('acquire', {...CONTEXT, seq: 2});
   retired.add('i9');
-  expect(holder.accept(createGrant({seq: 2}), 2)).toBe(false);
-  expect(holder.share).toEqual(NO_SHARE);
+  expect(holder.acceptGrant(createGrant({seq: 2}), 2)).toBe(false);
+  expect(holder.share).toEqual(EMPTY_SHARE);
 });
 
 test('gives up its share before the owner hears of it', () => {
   const {holder} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant(), 2);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant(), 2);
   const message = holder.beginSync('release', {...CONTEXT, seq: 2});
-  expect(message).toMatchObject({held: NO_SHARE, heldEpoch: 0, tokensBack: 5});
+  expect(message).toMatchObject({
+    held: EMPTY_SHARE,
+    heldEpoch: 0,
+    tokensBack: 5,
+  });
   expect(holder.trySpend()).toBe(false);
-  expect(holder.share).toEqual(NO_SHARE);
+  expect(holder.share).toEqual(EMPTY_SHARE);
 });
 
 test('gives nothing up to an owner that has not adopted its share', () => {
   const {holder} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant(), 2);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant(), 2);
   const context = {...CONTEXT, knownEpoch: 3, seq: 2};
   const message = holder.beginSync('release', context);
   expect(message).toMatchObject({held: HALF, heldEpoch: 2, tokensBack: 0});
@@ -95,8 +99,8 @@
 
 test('re-checks its standing at each spend', () => {
   const {holder, state, clock} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant(), 2);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant(), 2);
   expect(holder.trySpend()).toBe(true);
   state.standing = 'cutOff';
   expect(holder.trySpend()).toBe(false);
@@ -107,22 +111,22 @@
 
 test('outlives a retired owner from the last proof of its ownership', () => {
   const {holder, retired, clock} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant(), 2);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant(), 2);
   expect(holder.trySpend()).toBe(true);
   retired.add('i9');
   clock.advance(2_600);
   expect(holder.trySpend()).toBe(true);
   clock.advance(101);
   expect(holder.trySpend()).toBe(false);
-  expect(holder.share).toEqual(NO_SHARE);
+  expect(holder.share).toEqual(EMPTY_SHARE);
 });
 
 test('keeps room for tokens that another node may still use', () => {
   const {clock, holder} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant({tokens: 25}), 2);
-  expect(holder.spendForOther(10)).toBe(10);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant({tokens: 25}), 2);
+  expect(holder.spendForRemote(10)).toBe(10);
   clock.advance(SPEND_VALID_MS);
   // Half the rate would have filled 5 of the 10 by now.
   expect(holder.tokens).toBe(15);
@@ -130,15 +134,15 @@
   expect(tokensIn(released.held.burst, LIMITS)).toBeCloseTo(10);
   clock.advance(SPEND_VALID_MS);
   expect(holder.beginSync('release', {...CONTEXT, seq: 3}).held).toEqual(
-    NO_SHARE,
+    EMPTY_SHARE,
   );
 });
 
 test('spends no more for another node than it holds', () => {
   const {holder, state} = createHolder();
-  holder.beginSync('ask', {...CONTEXT, seq: 1});
-  holder.accept(createGrant({tokens: 5}), 2);
-  expect(holder.spendForOther(8)).toBe(5);
+  holder.beginSync('acquire', {...CONTEXT, seq: 1});
+  holder.acceptGrant(createGrant({tokens: 5}), 2);
+  expect(holder.spendForRemote(8)).toBe(5);
   state.standing = 'cutOff';
-  expect(holder.spendForOther(1)).toBe(0);
+  expect(holder.spendForRemote(1)).toBe(0);
 });
--- a/test/quota/return-times.test.ts
+++ b/test/quota/retry-spacing.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {BudgetHolder} from '../../src/quota/budget-holder.js';
 import {BudgetOwner} from '../../src/quota/budget-owner.js';
-import {ReturnTimes} from '../../src/quota/return-times.js';
+import {RetrySpacing} from '../../src/quota/return-times.js';
 import {createLogger} from '../../src/telemetry/log.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
@@ -64,17 +64,17 @@
 
   it('are spaced by half of the rate, and never far away', () => {
     const clock = new VirtualClock();
-    const times = new ReturnTimes(clock);
-    const told = Array.from({length: 200}, () => times.next(10, RATE));
+    const times = new RetrySpacing(clock);
+    const told = Array.from({length: 200}, () => times.nextDelayMs(10, RATE));
     expect(told.slice(0, 3)).toEqual([10, 30, 50]);
     expect(Math.max(...told)).toBe(1_500);
   });
 
   it('begin anew once the callers are through', async () => {
     const clock = new VirtualClock();
-    const times = new ReturnTimes(clock);
-    for (let n = 0; n < 20; n++) times.next(10, RATE);
+    const times = new RetrySpacing(clock);
+    for (let n = 0; n < 20; n++) times.nextDelayMs(10, RATE);
     await clock.advance(2_000);
-    expect(times.next(10, RATE)).toBe(10);
+    expect(times.nextDelayMs(10, RATE)).toBe(10);
   });
 });
