--- a/src/membership/member-digest.ts
+++ b/src/membership/member-digest.ts
@@ -41,7 +41,7 @@
     return vm && vm.identity.status !== 'alive' ? toDelta(vm) : undefined;
   }
 
-  /** Equal on nodes with the same set of listed VMs that are not alive. */
+  /** Equal on nodes that agree on the listed VMs that are not alive. */
   get checksum(): number {
     this.#checksum ??= this.#down().reduce(
       (sum, {record, identity}) =>
