--- a/src/catalog/types.ts
+++ b/src/catalog/types.ts
@@ -1,46 +1,46 @@
-/** What operators and databases have announced: routes, teams, databases. */
+/** The operators' configuration and the databases that announced themselves. */
 
-/** Which commits a read must see. */
+/** Which commits must be visible to a read. */
 export type Consistency =
-  /** Every commit that was acknowledged before it. */
+  /** Every commit that was acknowledged before the read. */
   | 'primary'
-  /** Every commit older than the route's staleness. */
+  /** Every commit older than the route's maximum staleness. */
   | 'bounded'
-  /** Also every commit of its own session. */
+  /** As `bounded`, and every commit of the read's own session. */
   | 'session';
 
-/** How callers reach a database group. */
+/** Maps a database name to a group, with its consistency and time limits. */
 export interface Route {
-  /** The database name that callers ask for. */
+  /** Database name that callers connect to. */
   readonly database: string;
   readonly group: string;
   readonly consistency: Consistency;
   readonly maxStalenessMs: number;
-  /** Limit of one statement. */
+  /** Time limit of one statement. */
   readonly timeoutMs: number;
-  /** Response time to aim at, for a whole operation. */
+  /** Desired response time of a whole operation. */
   readonly aimMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether callers need no key. */
+  /** True if callers need no key. */
   readonly isOpen: boolean;
 }
 
-/** The name under which callers of open routes without a key are served. */
+/** Team of the callers without a valid key on routes that require none. */
 export const OPEN_TEAM = 'public';
 
-/** A team and what it may use. */
+/** A team and its rate limit. */
 export interface Team {
   readonly name: string;
-  /** Operations a second, over all nodes together. */
+  /** Operations per second, over all nodes together. */
   readonly rate: number;
   readonly burst: number;
 }
 
-/** A database group as operators describe it. */
-export interface GroupRules {
+/** Configuration of a database group. */
+export interface GroupConfig {
   readonly name: string;
-  /** Connections that each of its databases accepts from all nodes. */
+  /** Connections that each of its databases accepts from all nodes together. */
   readonly maxConnections: number;
 }
 
@@ -49,11 +49,11 @@
   readonly version: number;
   /** By database name. */
   readonly routes: ReadonlyMap<string, Route>;
-  readonly groups: ReadonlyMap<string, GroupRules>;
+  readonly groups: ReadonlyMap<string, GroupConfig>;
   readonly teams: ReadonlyMap<string, Team>;
   /** Team names by key. */
   readonly keys: ReadonlyMap<string, string>;
-  /** How long a transaction may stand idle. */
+  /** How long a transaction may stay idle. */
   readonly idleTransactionMs: number;
 }
 
@@ -64,12 +64,12 @@
   readonly host: string;
   readonly port: number;
   readonly dataCentre: string;
-  /** Statements it executes at the same time. */
+  /** Number of statements that it executes concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** Its own view; undefined if it did not say. */
+  /** Role that it reported; undefined if it reported none. */
   readonly role: 'primary' | 'replica' | undefined;
-  /** Start of its process by its own clock, in Unix milliseconds. */
+  /** Start of its process by its own wall clock, in Unix milliseconds. */
   readonly startedAt: number | undefined;
 }
 
--- a/src/infra/clock.ts
+++ b/src/infra/clock.ts
@@ -1,27 +1,27 @@
-/** Time and chance as ports, so that decisions run under virtual time. */
+/** Ports for time and randomness, which tests replace by virtual ones. */
 
-/** A source of time. All durations are in milliseconds. */
+/** A source of time, in milliseconds. */
 export interface Clock {
-  /** Monotonic milliseconds since an arbitrary start. */
+  /** Monotonic time since an arbitrary origin. */
   now(): number;
-  /** Milliseconds since the Unix epoch; may jump either way. */
+  /** Wall clock time since the Unix epoch; may jump forwards or backwards. */
   wallNow(): number;
-  /** Resolves after `ms`, or at once when `signal` aborts; never rejects. */
+  /** Resolves after `ms` or as soon as `signal` aborts; never rejects. */
   sleep(ms: number, signal?: AbortSignal): Promise<void>;
   /**
-   * Calls `action` after `ms`; the returned function prevents that. A clock
-   * without it is waited on by `sleep`, which costs more.
+   * Calls `action` after `ms` unless the returned function is called before.
+   * For a clock without it, timers fall back to `sleep`, which costs more.
    */
   startTimer?(ms: number, action: () => void): () => void;
 }
 
-/** A source of chance. */
+/** A source of random numbers. */
 export interface Random {
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   next(): number;
 }
 
-/** The machine's own clock. */
+/** The clock of the process. */
 export class SystemClock implements Clock {
   now(): number {
     return performance.now();
@@ -50,7 +50,7 @@
   }
 }
 
-/** The runtime's own generator. */
+/** Random numbers from `Math.random`. */
 export class SystemRandom implements Random {
   next(): number {
     return Math.random();
--- a/src/infra/etcd-errors.ts
+++ b/src/infra/etcd-errors.ts
@@ -1,7 +1,7 @@
-/** What can go wrong between the adapter and the store. */
+/** Errors of the etcd adapter. */
 import {StoreError, type StoreFailureKind} from './store.js';
 
-/** The store answered, and refused the call. */
+/** The store answered with an HTTP error status. */
 export class StoreRefusalError extends StoreError {
   constructor(
     readonly status: number,
@@ -14,9 +14,9 @@
 }
 
 /**
- * A watch asked for changes that the store has forgotten. Read the keys again,
- * then watch from `compactRevision`: every change since is in that read or in
- * that watch.
+ * A watch asked for revisions that the store has compacted. Read the keys
+ * again, then watch from `compactRevision`: every change since then is in that
+ * read or reported by that watch.
  */
 export class WatchCompactedError extends StoreError {
   constructor(readonly compactRevision: number) {
@@ -28,18 +28,18 @@
   }
 }
 
-/** Turns what `fetch` threw into a {@link StoreError}. */
-export function resolveStoreError(
+/** Converts an error thrown during `operation` to a {@link StoreError}. */
+export function toStoreError(
   err: unknown,
   kind: StoreFailureKind,
-  what: string,
+  operation: string,
 ): StoreError {
   if (err instanceof StoreError) return err;
   const refused = isConnectionRefused(err);
   const reason = describeReason(err);
   return new StoreError(
     refused ? 'notSent' : kind,
-    `${what} failed: ${reason}; check --store and that the store is up`,
+    `${operation} failed: ${reason}; check --store and that the store is up`,
   );
 }
 
--- a/src/infra/etcd-lines.ts
+++ b/src/infra/etcd-lines.ts
@@ -1,8 +1,8 @@
-/** Splits a streamed answer into its lines. */
+/** Splits a streamed response into lines. */
 
-const MAX_LINE_BYTES = 16 * 1024 * 1024;
+const MAX_LINE_LENGTH = 16 * 1024 * 1024;
 
-/** Yields each line of a stream of bytes, without its line end. */
+/** Yields each non-empty line of a byte stream, without its newline. */
 export async function* readLines(
   chunks: AsyncIterable<Uint8Array>,
 ): AsyncIterable<string> {
@@ -10,7 +10,7 @@
   let pending = '';
   for await (const chunk of chunks) {
     pending += decoder.decode(chunk, {stream: true});
-    if (pending.length > MAX_LINE_BYTES) {
+    if (pending.length > MAX_LINE_LENGTH) {
       throw new Error('a line of the answer is too long');
     }
     const lines = pending.split('\n');
--- a/src/infra/etcd-messages.ts
+++ b/src/infra/etcd-messages.ts
@@ -1,45 +1,45 @@
-/** The messages of the etcd v3 JSON gateway, checked as they come in. */
+/** Encoding and validation of the etcd v3 JSON gateway's messages. */
 import * as z from 'zod';
 import type {StoredValue, WatchEvent} from './store.js';
 
 const int64Schema = z.coerce.number().int().min(0);
-const textSchema = z
+const base64TextSchema = z
   .string()
   .default('')
   .transform(text => Buffer.from(text, 'base64').toString());
 
-const entrySchema = z.object({
-  key: textSchema,
-  value: textSchema,
+const keyValueSchema = z.object({
+  key: base64TextSchema,
+  value: base64TextSchema,
   mod_revision: int64Schema.default(0),
 });
 
 const headerSchema = z.object({revision: int64Schema.default(0)});
 
-/** The answer to `/v3/kv/range`. */
-export const rangeAnswerSchema = z.object({
-  kvs: z.array(entrySchema).default([]),
+/** Response of `/v3/kv/range`. */
+export const rangeResponseSchema = z.object({
+  kvs: z.array(keyValueSchema).default([]),
 });
 
-/** The answer to the transaction of a compare-and-swap. */
-export const swapAnswerSchema = z.object({
+/** Response of the `/v3/kv/txn` request of a compare-and-swap. */
+export const swapResponseSchema = z.object({
   header: headerSchema,
   succeeded: z.boolean().default(false),
   responses: z
-    .array(z.object({response_range: rangeAnswerSchema.optional()}))
+    .array(z.object({response_range: rangeResponseSchema.optional()}))
     .default([]),
 });
 
-/** The answer to `/v3/lease/grant`. */
-export const grantAnswerSchema = z.object({ID: z.string()});
+/** Response of `/v3/lease/grant`. */
+export const leaseGrantResponseSchema = z.object({ID: z.string()});
 
-/** The answer to `/v3/lease/keepalive`; a lapsed lease has no time to live. */
-export const keepAliveAnswerSchema = z.object({
+/** Response of `/v3/lease/keepalive`; an expired lease has no TTL. */
+export const keepAliveResponseSchema = z.object({
   result: z.object({TTL: int64Schema.default(0)}),
 });
 
-/** One line of a watch. */
-export const watchLineSchema = z.object({
+/** One line of a `/v3/watch` stream. */
+export const watchResponseSchema = z.object({
   result: z.object({
     header: headerSchema,
     created: z.boolean().default(false),
@@ -50,23 +50,26 @@
       .array(
         z.object({
           type: z.enum(['PUT', 'DELETE']).default('PUT'),
-          kv: entrySchema,
+          kv: keyValueSchema,
         }),
       )
       .default([]),
   }),
 });
 
-/** One line of a watch, decoded. */
-export type WatchLine = z.infer<typeof watchLineSchema>['result'];
+/** The decoded content of one line of a watch stream. */
+export type WatchResponse = z.infer<typeof watchResponseSchema>['result'];
 
-/** A text as a base64 field. */
-export function encodeText(text: string): string {
+/** Encodes a text as a base64 field. */
+export function encodeBase64(text: string): string {
   return Buffer.from(text).toString('base64');
 }
 
-/** The end of the range of keys that start with `prefix`, as a base64 field. */
-export function encodePrefixEnd(prefix: string): string {
+/**
+ * Returns the exclusive end of the range of keys that start with `prefix`, as a
+ * base64 field.
+ */
+export function encodePrefixRangeEnd(prefix: string): string {
   const bytes = Buffer.from(prefix);
   const last = bytes.findLastIndex(byte => byte < 0xff);
   if (last < 0) return Buffer.from([0]).toString('base64');
@@ -75,17 +78,17 @@
   return end.toString('base64');
 }
 
-/** A decoded key as the port names it. */
-export function createStoredValue(
-  entry: z.infer<typeof entrySchema>,
+/** Converts a decoded key-value pair to the type of the store port. */
+export function toStoredValue(
+  entry: z.infer<typeof keyValueSchema>,
 ): StoredValue {
   const {key, value, mod_revision: revision} = entry;
   return {key, value, revision};
 }
 
-/** The changes of one line as the port names them. */
-export function createWatchEvents(line: WatchLine): readonly WatchEvent[] {
-  return line.events.map(event => ({
+/** Converts the events of a watch response to the type of the store port. */
+export function toWatchEvents(response: WatchResponse): readonly WatchEvent[] {
+  return response.events.map(event => ({
     key: event.kv.key,
     value: event.type === 'DELETE' ? undefined : event.kv.value,
     revision: event.kv.mod_revision,
--- a/src/infra/etcd-store.ts
+++ b/src/infra/etcd-store.ts
@@ -1,16 +1,20 @@
-/** The store over the etcd v3 JSON gateway, with Node's own fetch. */
+/** Store adapter for the etcd v3 JSON gateway, using Node's `fetch`. */
 import type * as z from 'zod';
-import {StoreRefusalError, resolveStoreError} from './etcd-errors.js';
+import {StoreRefusalError, toStoreError} from './etcd-errors.js';
 import {
-  createStoredValue,
-  encodePrefixEnd,
-  encodeText,
-  grantAnswerSchema,
-  keepAliveAnswerSchema,
-  rangeAnswerSchema,
-  swapAnswerSchema,
+  encodeBase64,
+  encodePrefixRangeEnd,
+  keepAliveResponseSchema,
+  leaseGrantResponseSchema,
+  rangeResponseSchema,
+  swapResponseSchema,
+  toStoredValue,
 } from './etcd-messages.js';
-import {SilenceTimer, WATCH_SILENCE_MS, readWatch} from './etcd-watch.js';
+import {
+  DEFAULT_WATCH_TIMEOUT_MS,
+  WatchdogTimer,
+  readWatch,
+} from './etcd-watch.js';
 import {
   StoreError,
   type Store,
@@ -20,24 +24,24 @@
   type WatchItem,
 } from './store.js';
 
-/** How long one call may take. */
-export const DEFAULT_TIMEOUT_MS = 2_000;
+/** Default time limit of one call. */
+export const DEFAULT_CALL_TIMEOUT_MS = 2_000;
 
 const READ_ATTEMPTS = 2;
 const HTTP_NOT_FOUND = 404;
 
-/** Settings of the adapter. */
+/** Options of an {@link EtcdStore}. */
 export interface EtcdStoreOptions {
-  /** Such as `http://127.0.0.1:2379`. */
+  /** Base URL, such as `http://127.0.0.1:2379`. */
   readonly url: string;
   readonly timeoutMs?: number;
-  /** How long a watched store may say nothing. */
-  readonly silenceMs?: number;
+  /** Time without data after which a watch fails. */
+  readonly watchTimeoutMs?: number;
 }
 
 /**
- * The platform's store. Reads are tried twice; writes once, because a lost
- * answer leaves their effect unknown.
+ * A store in etcd. Reads are attempted twice; writes once, because if their
+ * answer is lost, they may have taken effect.
  *
  * @example
  * const store = new EtcdStore({url: 'http://127.0.0.1:2379'});
@@ -46,23 +50,23 @@
 export class EtcdStore implements Store {
   readonly #url: string;
   readonly #timeoutMs: number;
-  readonly #silenceMs: number;
+  readonly #watchTimeoutMs: number;
 
   constructor(options: EtcdStoreOptions) {
     this.#url = options.url.replace(/\/$/, '');
-    this.#timeoutMs = options.timeoutMs ?? DEFAULT_TIMEOUT_MS;
-    this.#silenceMs = options.silenceMs ?? WATCH_SILENCE_MS;
+    this.#timeoutMs = options.timeoutMs ?? DEFAULT_CALL_TIMEOUT_MS;
+    this.#watchTimeoutMs = options.watchTimeoutMs ?? DEFAULT_WATCH_TIMEOUT_MS;
   }
 
   async get(key: string): Promise<StoredValue | undefined> {
-    const [value] = await this.#range({key: encodeText(key)});
+    const [value] = await this.#range({key: encodeBase64(key)});
     return value;
   }
 
   async list(prefix: string): Promise<readonly StoredValue[]> {
     return this.#range({
-      key: encodeText(prefix),
-      range_end: encodePrefixEnd(prefix),
+      key: encodeBase64(prefix),
+      range_end: encodePrefixRangeEnd(prefix),
     });
   }
 
@@ -71,20 +75,20 @@
     expected: number,
     value: string,
   ): Promise<SwapResult> {
-    const encodedKey = encodeText(key);
+    const encodedKey = encodeBase64(key);
     const request = {
       compare: [
         {target: 'MOD', key: encodedKey, mod_revision: String(expected)},
       ],
-      success: [{request_put: {key: encodedKey, value: encodeText(value)}}],
+      success: [{request_put: {key: encodedKey, value: encodeBase64(value)}}],
       failure: [{request_range: {key: encodedKey}}],
     };
-    const answer = await this.#write('/v3/kv/txn', request, swapAnswerSchema);
+    const answer = await this.#write('/v3/kv/txn', request, swapResponseSchema);
     if (answer.succeeded) {
       return {kind: 'swapped', revision: answer.header.revision};
     }
     const [entry] = answer.responses[0]?.response_range?.kvs ?? [];
-    const current = entry === undefined ? undefined : createStoredValue(entry);
+    const current = entry === undefined ? undefined : toStoredValue(entry);
     return {kind: 'conflict', current};
   }
 
@@ -93,30 +97,30 @@
     fromRevision: number,
     signal: AbortSignal,
   ): AsyncIterable<WatchItem> {
-    const silence = new SilenceTimer(this.#silenceMs);
+    const watchdog = new WatchdogTimer(this.#watchTimeoutMs);
     const request = {
       create_request: {
-        key: encodeText(prefix),
-        range_end: encodePrefixEnd(prefix),
+        key: encodeBase64(prefix),
+        range_end: encodePrefixRangeEnd(prefix),
         start_revision: String(fromRevision),
         progress_notify: true,
       },
     };
-    silence.feed();
+    watchdog.restart();
     try {
       const res = await this.#fetch(
         '/v3/watch',
         request,
-        AbortSignal.any([signal, silence.signal]),
+        AbortSignal.any([signal, watchdog.signal]),
       );
       if (res.body === null) throw new Error('the answer has no body');
-      yield* readWatch(res.body, silence);
+      yield* readWatch(res.body, watchdog);
     } catch (err) {
       if (signal.aborted) return;
-      const reason: unknown = silence.signal.reason ?? err;
-      throw resolveStoreError(reason, 'notSent', 'the watch');
+      const reason: unknown = watchdog.signal.reason ?? err;
+      throw toStoreError(reason, 'notSent', 'the watch');
     } finally {
-      silence.pause();
+      watchdog.stop();
     }
   }
 
@@ -125,7 +129,7 @@
     const answer = await this.#write(
       '/v3/lease/grant',
       request,
-      grantAnswerSchema,
+      leaseGrantResponseSchema,
     );
     return answer.ID;
   }
@@ -134,7 +138,7 @@
     const answer = await this.#write(
       '/v3/lease/keepalive',
       {ID: leaseId},
-      keepAliveAnswerSchema,
+      keepAliveResponseSchema,
     );
     return answer.result.TTL > 0;
   }
@@ -149,8 +153,8 @@
   }
 
   async #range(request: object): Promise<readonly StoredValue[]> {
-    const result = rangeAnswerSchema.safeParse(await this.#read(request));
-    if (result.success) return result.data.kvs.map(createStoredValue);
+    const result = rangeResponseSchema.safeParse(await this.#read(request));
+    if (result.success) return result.data.kvs.map(toStoredValue);
     throw new StoreError('notSent', '/v3/kv/range answered in an unknown form');
   }
 
@@ -185,7 +189,7 @@
       const res = await this.#fetch(path, request, timeout, failureKind);
       return await res.json();
     } catch (err) {
-      throw resolveStoreError(err, failureKind, path);
+      throw toStoreError(err, failureKind, path);
     }
   }
 
--- a/src/infra/etcd-watch.ts
+++ b/src/infra/etcd-watch.ts
@@ -1,72 +1,76 @@
-/** Reads a watch as it streams, and notices when the store falls silent. */
+/** Reads a watch stream and detects when the store stops sending. */
 import {readLines} from './etcd-lines.js';
 import {WatchCompactedError} from './etcd-errors.js';
 import {
-  createWatchEvents,
-  watchLineSchema,
-  type WatchLine,
+  toWatchEvents,
+  watchResponseSchema,
+  type WatchResponse,
 } from './etcd-messages.js';
 import {StoreError, type WatchItem} from './store.js';
 
-/** How long a watched store may say nothing. */
-export const WATCH_SILENCE_MS = 3_000;
+/** Default time without data after which a watch fails. */
+export const DEFAULT_WATCH_TIMEOUT_MS = 3_000;
 
-/** Aborts when it is not fed for a time; paused while the caller is busy. */
-export class SilenceTimer {
-  readonly #silenceMs: number;
+/**
+ * Aborts its signal unless it is restarted in time; stopped while the consumer
+ * of the watch processes an item.
+ */
+export class WatchdogTimer {
+  readonly #timeoutMs: number;
   readonly #controller = new AbortController();
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(silenceMs: number) {
-    this.#silenceMs = silenceMs;
+  constructor(timeoutMs: number) {
+    this.#timeoutMs = timeoutMs;
   }
 
   get signal(): AbortSignal {
     return this.#controller.signal;
   }
 
-  /** Starts or restarts the count. */
-  feed(): void {
-    this.pause();
-    const silence = `the store was silent for ${this.#silenceMs} ms`;
+  /** Starts or restarts the timeout. */
+  restart(): void {
+    this.stop();
+    const message = `the store was silent for ${this.#timeoutMs} ms`;
     this.#timer = setTimeout(
-      () => this.#controller.abort(new StoreError('notSent', silence)),
-      this.#silenceMs,
+      () => this.#controller.abort(new StoreError('notSent', message)),
+      this.#timeoutMs,
     );
   }
 
-  pause(): void {
+  stop(): void {
     clearTimeout(this.#timer);
   }
 }
 
-/** Yields what a watch's answer delivers; ends only by throwing. */
+/** Yields the items of a watch stream; ends only by throwing. */
 export async function* readWatch(
   body: AsyncIterable<Uint8Array>,
-  silence: SilenceTimer,
+  watchdog: WatchdogTimer,
 ): AsyncIterable<WatchItem> {
   for await (const text of readLines(body)) {
-    silence.pause();
-    const line = watchLineSchema.parse(JSON.parse(text)).result;
-    failWhenCanceled(line);
-    // The first line carries the store's revision before any replay.
-    if (!line.created) yield createItem(line);
-    silence.feed();
+    watchdog.stop();
+    const response = watchResponseSchema.parse(JSON.parse(text)).result;
+    throwIfCanceled(response);
+    // The first line has the store's current revision, but past events are not
+    // replayed yet, so it must not be reported as progress.
+    if (!response.created) yield toWatchItem(response);
+    watchdog.restart();
   }
   throw new StoreError('notSent', 'the store ended the watch');
 }
 
-function createItem(line: WatchLine): WatchItem {
-  const events = createWatchEvents(line);
+function toWatchItem(response: WatchResponse): WatchItem {
+  const events = toWatchEvents(response);
   if (events.length > 0) return {kind: 'events', events};
-  return {kind: 'progress', revision: line.header.revision};
+  return {kind: 'progress', revision: response.header.revision};
 }
 
-function failWhenCanceled(line: WatchLine): void {
-  if (line.compact_revision > 0) {
-    throw new WatchCompactedError(line.compact_revision);
+function throwIfCanceled(response: WatchResponse): void {
+  if (response.compact_revision > 0) {
+    throw new WatchCompactedError(response.compact_revision);
   }
-  if (!line.canceled) return;
-  const reason = line.cancel_reason ?? 'no reason given';
+  if (!response.canceled) return;
+  const reason = response.cancel_reason ?? 'no reason given';
   throw new StoreError('notSent', `the store cancelled the watch: ${reason}`);
 }
--- a/src/infra/leased-store.ts
+++ b/src/infra/leased-store.ts
@@ -1,48 +1,50 @@
-/** The port to a store with leases, revisions and bounded polls. */
+/** Port to a key-value store with leases, revisions and long polling. */
 import type {StoredValue, SwapResult, WatchEvent} from './store.js';
 
-/** What an answer says of itself where another node handed it on. */
+/** Age of an answer that another node relayed from the store. */
 export interface HandedOn {
-  /** How old it was when it was handed on, in milliseconds. */
+  /** Age of the answer when it was relayed, in milliseconds. */
   readonly ageMs?: number | undefined;
-  /** How long ago that node last failed to read the store, if it did. */
+  /** Time since the relaying node last failed to read the store, if ever. */
   readonly interruptedMsAgo?: number | undefined;
 }
 
-/** Changes under a prefix, and how far they reach. */
+/** Changes under a prefix, complete up to a revision. */
 export interface ChangeSet extends HandedOn {
   readonly events: readonly WatchEvent[];
-  /** Every change up to this revision is known. */
+  /** All changes up to this revision are included. */
   readonly asOf: number;
 }
 
-/** A lease as it was granted. */
+/** A granted lease. */
 export interface Lease {
   readonly id: string;
-  /** Milliseconds from the arrival of the call that granted it. */
+  /** Time to live, from when the store received the grant request. */
   readonly ttlMs: number;
 }
 
-/** Every key under a prefix. */
+/** All keys under a prefix. */
 export interface Snapshot extends HandedOn {
   readonly values: readonly StoredValue[];
-  /** The revision at which the first page was read. */
+  /** Revision at which the first page was read. */
   readonly asOf: number;
 }
 
 /**
  * A store with leases. Every method may throw `StoreError`; `changes` throws
- * {@link HistoryGoneError} when the store has dropped what was asked for.
+ * {@link HistoryGoneError} if the store no longer keeps the changes after the
+ * given revision.
  */
 export interface LeasedStore {
   list(prefix: string): Promise<Snapshot>;
-  /** Waits up to `waitMs` for a change after a revision. */
+  /** Long poll: waits up to `waitMs` for changes after a revision. */
   changes(prefix: string, after: number, waitMs: number): Promise<ChangeSet>;
   /**
-   * Writes only if the key's revision is `expected`; 0 means "absent". A value
-   * of undefined removes the key. With a lease the key ends with it.
+   * Compare-and-swap: writes only if the key's revision is `expected`, where 0
+   * stands for a missing key. A value of undefined deletes the key. A key
+   * written with a lease is deleted when the lease ends.
    *
-   * @throws LeaseGoneError when there is no such lease
+   * @throws LeaseGoneError if the lease does not exist or has ended
    */
   swap(
     key: string,
@@ -56,7 +58,7 @@
   end(lease: string): Promise<void>;
 }
 
-/** The store keeps no changes that far back; list the keys again. */
+/** The store no longer keeps the requested changes; list the keys again. */
 export class HistoryGoneError extends Error {
   constructor() {
     super('the store has dropped the changes asked for; list the keys again');
--- a/src/infra/store.ts
+++ b/src/infra/store.ts
@@ -1,4 +1,4 @@
-/** The port to the platform's key-value service. */
+/** Port to the platform's key-value store. */
 
 /** A value and the revision of its last change. */
 export interface StoredValue {
@@ -8,26 +8,26 @@
   readonly revision: number;
 }
 
-/** What a compare-and-swap did. */
+/** Result of a compare-and-swap. */
 export type SwapResult =
   | {readonly kind: 'swapped'; readonly revision: number}
   | {readonly kind: 'conflict'; readonly current: StoredValue | undefined};
 
-/** One change seen by a watch. `value` is undefined for a deletion. */
+/** A change reported by a watch; `value` is undefined for a deletion. */
 export interface WatchEvent {
   readonly key: string;
   readonly value: string | undefined;
   readonly revision: number;
 }
 
-/** What a watch delivers: changes, or proof that the store still answers. */
+/** An item of a watch: changes, or a sign that the watch is still alive. */
 export type WatchItem =
   | {readonly kind: 'events'; readonly events: readonly WatchEvent[]}
   | {readonly kind: 'progress'; readonly revision: number};
 
 /**
- * Why a store call failed: `notSent` is known to have had no effect;
- * `unknown` may have taken effect, its answer was lost.
+ * Whether a failed store call may have taken effect: `notSent` certainly had no
+ * effect; `unknown` may have taken effect, but its answer was lost.
  */
 export type StoreFailureKind = 'notSent' | 'unknown';
 
@@ -42,18 +42,18 @@
   }
 }
 
-/** The platform's key-value service. Every method may throw {@link StoreError}. */
+/** The platform's key-value store. Every method may throw {@link StoreError}. */
 export interface Store {
   get(key: string): Promise<StoredValue | undefined>;
   list(prefix: string): Promise<readonly StoredValue[]>;
-  /** Writes only if the key's revision is `expected`; 0 means "absent". */
+  /** Writes only if the key's revision is `expected`; 0 for a missing key. */
   compareAndSwap(
     key: string,
     expected: number,
     value: string,
   ): Promise<SwapResult>;
   /**
-   * Follows every key under `prefix` from `fromRevision` on, with progress at
+   * Reports the changes under `prefix` from `fromRevision` on, and progress at
    * least once a second, until `signal` aborts or the store fails.
    */
   watch(
@@ -63,7 +63,7 @@
   ): AsyncIterable<WatchItem>;
   /** Grants a lease; resolves to its id. */
   grantLease(ttlMs: number): Promise<string>;
-  /** Renews a lease; false if it has already lapsed. */
+  /** Renews a lease; false if it has already expired. */
   keepAlive(leaseId: string): Promise<boolean>;
   revokeLease(leaseId: string): Promise<void>;
 }
--- a/src/infra/timer.ts
+++ b/src/infra/timer.ts
@@ -1,11 +1,14 @@
-/** Timers that are usually cancelled, as a deadline of each statement is. */
+/**
+ * Timers for deadlines, most of which are cancelled before they fire, and
+ * periodic tasks that share their wake-ups.
+ */
 import type {Clock} from './clock.js';
 
-/** Given as the reason of an abort: making one for each would cost a stack. */
+/** Abort reason; the default one is an error that captures a stack trace. */
 const CANCELLED = 'cancelled';
 
 /**
- * Calls `action` after `ms`, unless the returned function is called before.
+ * Calls `action` after `ms` unless the returned function is called before.
  *
  * @example
  * const cancel = startTimer(clock, 500, () => connection.close());
@@ -27,7 +30,10 @@
   return () => cancelled.abort(CANCELLED);
 }
 
-/** Runs a task at once and at each tick of a period, until `signal` aborts. */
+/**
+ * Runs a task now and at each multiple of `periodMs` on the clock, until
+ * `signal` aborts.
+ */
 export async function runAtTicks(
   clock: Clock,
   periodMs: number,
@@ -40,13 +46,14 @@
   }
 }
 
-/** How early a timer may fire by the reading of the clock. */
-const TIMER_ERROR_MS = 2;
+/** Timers may fire up to this much early, measured in monotonic time. */
+const MAX_EARLY_FIRE_MS = 2;
 
 /**
- * Sleeps until the clock's next multiple of `periodMs`. Periodic tasks that
- * sleep so wake the process together, where each wake-up on its own costs a
- * node without work more processor time than what the tasks do.
+ * Sleeps until the clock's next multiple of `periodMs`, so that periodic tasks
+ * wake the process together. On an idle node, separate wake-ups cost more CPU
+ * time than the tasks themselves. A multiple within the early-fire tolerance is
+ * skipped: the previous sleep was for it and ended early.
  *
  * @example
  * while (!signal.aborted) {
@@ -59,7 +66,7 @@
   periodMs: number,
   signal?: AbortSignal,
 ): Promise<void> {
-  const restMs = Math.ceil(periodMs - (clock.now() % periodMs));
-  const early = restMs <= TIMER_ERROR_MS;
-  return clock.sleep(early ? restMs + periodMs : restMs, signal);
+  const remainingMs = Math.ceil(periodMs - (clock.now() % periodMs));
+  const firedEarly = remainingMs <= MAX_EARLY_FIRE_MS;
+  return clock.sleep(firedEarly ? remainingMs + periodMs : remainingMs, signal);
 }
--- a/src/infra/vm-list.ts
+++ b/src/infra/vm-list.ts
@@ -1,12 +1,12 @@
-/** What the platform says of the system's own VMs. The list lags. */
+/** The platform's list of the VMs that run nodes; it may be out of date. */
 
-/** A VM as the platform lists it. */
+/** A VM as listed by the platform. */
 export interface VmRecord {
   readonly id: string;
   readonly host: string;
-  /** Port on which nodes talk to one another. */
+  /** Port for connections between nodes. */
   readonly peerPort: number;
-  /** Port of the operators' HTTP interface. */
+  /** Port of the HTTP API for operators. */
   readonly adminPort: number;
   readonly dataCentre: string;
   readonly state: 'live' | 'leaving';
--- a/src/peers/call-fresh.ts
+++ b/src/peers/call-fresh.ts
@@ -1,14 +1,15 @@
-/** Calls over a connection made for the one call. */
+/** Calls over a connection that is opened for a single call. */
 
 import type {FreshPeerCaller} from './peer-pool.js';
 import type {CallOptions, PeerAddress} from './types.js';
 
 /**
- * Calls a node over a new connection, which tells a dead node from a
- * connection that has gone silent.
+ * Calls a node over a new connection, to distinguish a dead node from a broken
+ * pooled connection. The timeout applies to connecting and to the call, each on
+ * its own.
  *
  * @example
- * await callFresh(pool, address, 'membership.probe', {}, {timeoutMs: 500});
+ * await callOnNewConnection(pool, address, 'membership.probe', {}, {timeoutMs: 500});
  */
 export async function callFresh(
   caller: FreshPeerCaller,
--- a/src/peers/peer-link.ts
+++ b/src/peers/client-connection.ts
@@ -1,4 +1,4 @@
-/** One outgoing connection to one node. */
+/** Client side of a connection to another node. */
 
 import {connect} from 'node:net';
 import type {Clock} from '../infra/clock.js';
@@ -15,22 +15,22 @@
 import type {PeerLog} from './peer-log.js';
 import {PeerError, type CallOptions, type PeerAddress} from './types.js';
 
-/** What a link needs. */
-export interface PeerLinkOptions {
-  /** Id of the calling node. */
+/** Options of a {@link ClientConnection}. */
+export interface ClientConnectionOptions {
+  /** VM id of the calling node. */
   readonly self: string;
   readonly peer: PeerAddress;
   readonly clock: Clock;
   readonly connectTimeoutMs: number;
   readonly maxFrameBytes: number;
-  /** Shared secret of the fleet; both ends must know it. */
+  /** Secret that all nodes share. */
   readonly peerSecret?: string;
   readonly log: PeerLog;
 }
 
-/** A connection over which calls run concurrently. */
-export class PeerLink {
-  readonly #options: PeerLinkOptions;
+/** A connection that multiplexes concurrent calls. */
+export class ClientConnection {
+  readonly #options: ClientConnectionOptions;
   readonly #channel: PeerChannel;
   readonly #calls = new Map<number, PendingCall>();
   #nextId = 1;
@@ -38,7 +38,7 @@
   #lastUsedMs: number;
   #unmatchedAnswers = 0;
 
-  private constructor(options: PeerLinkOptions) {
+  private constructor(options: ClientConnectionOptions) {
     this.#options = options;
     this.#lastUsedMs = options.clock.now();
     const {host, port, id} = options.peer;
@@ -48,45 +48,47 @@
       log: options.log,
       peer: id,
       sendsHeartbeats: true,
-      afterSilence: 'the next call connects again',
-      onClose: reason => this.#failAll(reason),
+      recoveryHint: 'the next call reconnects',
+      onClose: reason => this.#failPendingCalls(reason),
     });
   }
 
   /**
-   * Connects and shakes hands; rejects with a `notSent` error.
+   * Connects and performs the handshake; rejects with a `notSent` error.
    *
    * @example
-   * const link = await PeerLink.open(options);
-   * const answer = await link.call('ping', {}, {timeoutMs: 500});
+   * const connection = await ClientConnection.open(options);
+   * const answer = await connection.call('ping', {}, {timeoutMs: 500});
    */
-  static async open(options: PeerLinkOptions): Promise<PeerLink> {
-    const link = new PeerLink(options);
-    await link.#open();
-    return link;
+  static async open(
+    options: ClientConnectionOptions,
+  ): Promise<ClientConnection> {
+    const connection = new ClientConnection(options);
+    await connection.#open();
+    return connection;
   }
 
-  /** Whether new calls may be sent. */
+  /** True if new calls may be sent. */
   get usable(): boolean {
     return !this.#channel.isClosed && !this.#draining;
   }
 
-  /** Calls that wait for their answer. */
+  /** Number of calls that wait for an answer. */
   get pendingCalls(): number {
     return this.#calls.size;
   }
 
-  /** Answers that matched no waiting call. */
+  /** Number of answers that matched no pending call. */
   get unmatchedAnswers(): number {
     return this.#unmatchedAnswers;
   }
 
-  /** When the last call was started, on the clock of the options. */
+  /** Monotonic time at which the last call started. */
   get lastUsedMs(): number {
     return this.#lastUsedMs;
   }
 
-  /** Where this link leads. */
+  /** The node at the other end. */
   get peer(): PeerAddress {
     return this.#options.peer;
   }
@@ -114,22 +116,22 @@
       return await call.answer;
     } finally {
       this.#calls.delete(id);
-      this.#endIfDone();
+      this.#endIfDrained();
     }
   }
 
-  /** Takes no new call and closes behind the last waiting one. */
+  /** Accepts no new calls and closes after the last pending one. */
   drain(): void {
     this.#draining = true;
-    this.#endIfDone();
+    this.#endIfDrained();
   }
 
-  /** Closes the connection; waiting calls fail with `lost`. */
+  /** Closes the connection; pending calls fail with `lost`. */
   close(reason = 'connection closed by this node'): void {
     this.#channel.close(reason);
   }
 
-  #failAll(reason: string): void {
+  #failPendingCalls(reason: string): void {
     const err = new PeerError('lost', `${this.peer.id}: ${reason}`);
     for (const call of this.#calls.values()) call.fail(err);
   }
@@ -149,19 +151,19 @@
     const {connectTimeoutMs, peer} = this.#options;
     const limit = {timeoutMs: connectTimeoutMs, reason: 'connect timed out'};
     try {
-      await this.#channel.open(limit, () => this.#shakeHands());
+      await this.#channel.open(limit, () => this.#performHandshake());
     } catch (err) {
-      this.#channel.logEnd(err);
+      this.#channel.logFailure(err);
       this.close('connect failed');
       throw new PeerError(
         'notSent',
         `can't connect to ${peer.id} at ${peer.host}:${peer.port}: ${String(err)}`,
       );
     }
-    void this.#receive();
+    void this.#receiveMessages();
   }
 
-  async #shakeHands(): Promise<void> {
+  async #performHandshake(): Promise<void> {
     const {messages, writer} = this.#channel;
     const {self, peer, peerSecret} = this.#options;
     const {nonce: serverNonce} = await expectMessage(messages, 'challenge');
@@ -184,13 +186,13 @@
     }
   }
 
-  async #receive(): Promise<void> {
+  async #receiveMessages(): Promise<void> {
     const {messages} = this.#channel;
     try {
       for await (const received of messages) this.#onMessage(received);
       this.close('connection ended by the other node');
     } catch (err) {
-      this.#channel.logEnd(err);
+      this.#channel.logFailure(err);
       this.close(`connection lost: ${String(err)}`);
     }
   }
@@ -198,11 +200,11 @@
   #onMessage({message, bytes}: ReceivedMessage): void {
     switch (message.kind) {
       case 'part':
-        return this.#find(message.id)?.onPart(message.body, bytes);
+        return this.#findCall(message.id)?.onPart(message.body, bytes);
       case 'res':
-        return this.#find(message.id)?.onResult(message.body);
+        return this.#findCall(message.id)?.onResult(message.body);
       case 'err':
-        return this.#find(message.id)?.fail(
+        return this.#findCall(message.id)?.fail(
           new PeerError('failed', message.message),
         );
       case 'pong':
@@ -214,13 +216,13 @@
     }
   }
 
-  #find(id: number): PendingCall | undefined {
+  #findCall(id: number): PendingCall | undefined {
     const call = this.#calls.get(id);
     if (call === undefined) this.#unmatchedAnswers++;
     return call;
   }
 
-  #endIfDone(): void {
+  #endIfDrained(): void {
     if (this.#draining && this.#calls.size === 0) this.#channel.end();
   }
 }
--- a/src/peers/frame-writer.ts
+++ b/src/peers/frame-writer.ts
@@ -1,9 +1,9 @@
-/** Writes frames to a socket, all those of one tick together. */
+/** Writes frames to a socket and batches those of one event loop tick. */
 
 import type {Socket} from 'node:net';
 import {encodeFrame} from './framing.js';
 
-/** The sending half of a connection. */
+/** Sending side of a connection. */
 export class FrameWriter {
   readonly #socket: Socket;
   readonly #maxFrameBytes: number;
@@ -15,19 +15,19 @@
     this.#maxFrameBytes = maxFrameBytes;
   }
 
-  /** Frames handed to the socket so far. */
+  /** Number of frames written so far. */
   get framesSent(): number {
     return this.#framesSent;
   }
 
-  /** Bytes handed to the socket that the other end has not yet taken. */
+  /** Size of the socket's write buffer, which grows when the peer reads slowly. */
   get queuedBytes(): number {
     return this.#socket.writableLength;
   }
 
   /**
-   * Hands a frame to the socket; returns its bytes, or 0 if the socket is
-   * closed. Throws, having written nothing, if the value can't be encoded.
+   * Writes a frame; returns its size, or 0 if the socket is closed. Throws
+   * without writing anything if the value can't be encoded.
    */
   write(value: unknown): number {
     const frame = encodeFrame(value, this.#maxFrameBytes);
@@ -38,8 +38,8 @@
     return frame.length;
   }
 
-  /** Resolves once the socket's queue is empty or the socket is closed. */
-  async drained(): Promise<void> {
+  /** Resolves once the socket's write buffer is drained or the socket closed. */
+  async waitForDrain(): Promise<void> {
     if (!this.#socket.writableNeedDrain) return;
     await new Promise<void>(resolve => {
       const finish = () => {
--- a/src/peers/framing.ts
+++ b/src/peers/framing.ts
@@ -1,16 +1,19 @@
-/** Length-prefixed CBOR frames on a byte stream. */
+/** Length-prefixed CBOR frames over a byte stream. */
 
 import {Encoder} from 'cbor-x';
 
-/** Largest frame that a node sends or takes unless configured otherwise. */
+/** Default limit of a frame's payload, both sent and received. */
 export const DEFAULT_MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
 const LENGTH_PREFIX_BYTES = 4;
 
-/** What is wrong with a frame. */
+/** Why a frame was rejected. */
 export type FrameErrorKind = 'oversized' | 'truncated' | 'undecodable';
 
-/** A frame that breaks the protocol; its connection can't be used further. */
+/**
+ * Thrown for a frame that can't be sent or read. After one that can't be read,
+ * the connection must be closed.
+ */
 export class FrameError extends Error {
   constructor(
     readonly kind: FrameErrorKind,
@@ -21,7 +24,7 @@
   }
 }
 
-/** One decoded frame and the bytes that it took on the wire. */
+/** A decoded frame and its size on the wire. */
 export interface Frame {
   readonly value: unknown;
   readonly bytes: number;
@@ -60,7 +63,7 @@
   return frame;
 }
 
-/** Cuts a byte stream into frames. */
+/** Splits a byte stream into frames. */
 export class FrameDecoder {
   #chunks: Buffer[] = [];
   #buffered = 0;
@@ -70,13 +73,13 @@
     this.#maxFrameBytes = maxFrameBytes;
   }
 
-  /** Changes the limit for the frames that follow. */
+  /** Sets the size limit of the frames that follow. */
   setMaxFrameBytes(maxFrameBytes: number): void {
     this.#maxFrameBytes = maxFrameBytes;
   }
 
   /**
-   * Takes the next bytes and yields the frames that they complete.
+   * Buffers a chunk of the stream and yields the frames that it completes.
    *
    * @example
    * for (const frame of decoder.push(chunk)) handle(frame.value);
@@ -85,10 +88,10 @@
     this.#chunks.push(chunk);
     this.#buffered += chunk.length;
     for (;;) {
-      const length = this.#nextLength();
+      const length = this.#readPayloadLength();
       if (length === undefined) return;
       if (this.#buffered < LENGTH_PREFIX_BYTES + length) return;
-      const frame = this.#take(LENGTH_PREFIX_BYTES + length);
+      const frame = this.#consume(LENGTH_PREFIX_BYTES + length);
       yield {
         value: decodePayload(frame.subarray(LENGTH_PREFIX_BYTES)),
         bytes: frame.length,
@@ -96,7 +99,7 @@
     }
   }
 
-  /** Throws if the stream ended inside a frame. */
+  /** Call at the end of the stream; throws if it ended inside a frame. */
   end(): void {
     if (this.#buffered === 0) return;
     throw new FrameError(
@@ -105,9 +108,9 @@
     );
   }
 
-  #nextLength(): number | undefined {
+  #readPayloadLength(): number | undefined {
     if (this.#buffered < LENGTH_PREFIX_BYTES) return undefined;
-    if (this.#chunks[0]!.length < LENGTH_PREFIX_BYTES) this.#join();
+    if (this.#chunks[0]!.length < LENGTH_PREFIX_BYTES) this.#joinChunks();
     const length = this.#chunks[0]!.readUInt32BE(0);
     if (length <= this.#maxFrameBytes) return length;
     throw new FrameError(
@@ -116,8 +119,8 @@
     );
   }
 
-  #take(bytes: number): Buffer {
-    if (this.#chunks[0]!.length < bytes) this.#join();
+  #consume(bytes: number): Buffer {
+    if (this.#chunks[0]!.length < bytes) this.#joinChunks();
     const first = this.#chunks[0]!;
     const rest = first.subarray(bytes);
     if (rest.length > 0) this.#chunks[0] = rest;
@@ -126,7 +129,7 @@
     return first.subarray(0, bytes);
   }
 
-  #join(): void {
+  #joinChunks(): void {
     this.#chunks = [Buffer.concat(this.#chunks)];
   }
 }
--- a/src/peers/handshake.ts
+++ b/src/peers/handshake.ts
@@ -1,17 +1,17 @@
-/** Proves that both ends of a connection know the fleet's shared secret. */
+/** Mutual challenge-response authentication with the nodes' shared secret. */
 
 import {createHmac, randomBytes, timingSafeEqual} from 'node:crypto';
 
-/** Largest frame taken before the other end has proved itself. */
+/** Frame size limit until the other end is authenticated. */
 export const HANDSHAKE_MAX_FRAME_BYTES = 4 * 1024;
 
 const NONCE_BYTES = 16;
 const MIN_NONCE_BYTES = 8;
 
-/** Which end makes the proof; keeps a proof from being reflected. */
+/** The end that makes a proof; covered by it to prevent reflection attacks. */
 export type HandshakeRole = 'client' | 'server';
 
-/** What a proof is bound to. */
+/** Values that a proof covers. */
 export interface ProofInput {
   readonly role: HandshakeRole;
   readonly id: string;
@@ -19,13 +19,13 @@
   readonly clientNonce: Uint8Array;
 }
 
-/** Makes an unpredictable number for one handshake. */
+/** Creates a random nonce for one handshake. */
 export function createNonce(): Uint8Array {
   return new Uint8Array(randomBytes(NONCE_BYTES));
 }
 
 /**
- * Makes the proof of one end; empty when no secret is configured.
+ * Creates the HMAC proof of one end; empty if no secret is configured.
  *
  * @example
  * const proof = createProof(secret, {role: 'client', id, serverNonce, clientNonce});
@@ -49,7 +49,7 @@
   return new Uint8Array(hmac.digest());
 }
 
-/** Checks the proof of the other end; always true without a secret. */
+/** Verifies the proof of the other end; always true without a secret. */
 export function isValidProof(
   secret: string | undefined,
   input: ProofInput,
@@ -62,7 +62,7 @@
   return expected.length === proof.length && timingSafeEqual(expected, proof);
 }
 
-/** The other end is not the node that it should be. */
+/** Thrown when the other end has a wrong id, secret or protocol version. */
 export class HandshakeError extends Error {
   constructor(message: string) {
     super(message);
--- a/src/peers/message-stream.ts
+++ b/src/peers/message-stream.ts
@@ -1,23 +1,26 @@
-/** Reads the messages of one socket. */
+/** Reads peer messages from a socket. */
 
 import type {Socket} from 'node:net';
 import type {FrameDecoder} from './framing.js';
 import {parseMessage, ProtocolError, type PeerMessage} from './messages.js';
 
-/** A message and the bytes that it took on the wire. */
+/** A message and its size on the wire. */
 export interface ReceivedMessage {
   readonly message: PeerMessage;
   readonly bytes: number;
 }
 
-/** Yields messages until the socket ends; throws on anything malformed. */
+/**
+ * Yields messages until the socket ends; throws on a malformed frame or
+ * message. Calls `onData` for each chunk received.
+ */
 export async function* readMessages(
   socket: Socket,
   decoder: FrameDecoder,
-  onBytes: () => void,
+  onData: () => void,
 ): AsyncGenerator<ReceivedMessage> {
   for await (const chunk of socket as AsyncIterable<Buffer>) {
-    onBytes();
+    onData();
     for (const frame of decoder.push(chunk)) {
       yield {message: parseMessage(frame.value), bytes: frame.bytes};
     }
@@ -25,7 +28,7 @@
   decoder.end();
 }
 
-/** Reads the next message, which must be of the given kind. */
+/** Reads the next message; throws if it is not of the given kind. */
 export async function expectMessage<K extends PeerMessage['kind']>(
   messages: AsyncGenerator<ReceivedMessage>,
   kind: K,
--- a/src/peers/messages.ts
+++ b/src/peers/messages.ts
@@ -1,15 +1,15 @@
-/** The messages that two nodes exchange on a connection. */
+/** Messages of the protocol between nodes. */
 
-/** Version of the protocol; nodes of different versions refuse one another. */
+/** Protocol version; a server rejects a client of another version. */
 export const PROTOCOL_VERSION = 1;
 
-/** First frame of the accepting node. */
+/** First message of the accepting node: the nonce for the client's proof. */
 export interface ChallengeMessage {
   readonly kind: 'challenge';
   readonly nonce: Uint8Array;
 }
 
-/** First frame of the connecting node. */
+/** First message of the connecting node: its id and proof of the secret. */
 export interface HelloMessage {
   readonly kind: 'hello';
   readonly version: number;
@@ -18,7 +18,7 @@
   readonly proof: Uint8Array;
 }
 
-/** Ends the handshake; calls may follow. */
+/** Completes the handshake with the accepting node's proof; calls may follow. */
 export interface WelcomeMessage {
   readonly kind: 'welcome';
   readonly from: string;
@@ -33,13 +33,13 @@
   readonly body: unknown;
 }
 
-/** Tells the server that nobody waits for this call any more. */
+/** Tells the server that the client no longer waits for this call. */
 export interface CancelMessage {
   readonly kind: 'cancel';
   readonly id: number;
 }
 
-/** Allows the server to send more parts of this call. */
+/** Flow control: lets the server send more parts of this call. */
 export interface CreditMessage {
   readonly kind: 'credit';
   readonly id: number;
@@ -53,7 +53,7 @@
   readonly body: unknown;
 }
 
-/** Ends a call well. */
+/** Ends a call with its result. */
 export interface ResultMessage {
   readonly kind: 'res';
   readonly id: number;
@@ -67,7 +67,7 @@
   readonly message: string;
 }
 
-/** Keeps an idle connection alive; answered by `pong`. */
+/** Heartbeat of the client on an idle connection; answered by `pong`. */
 export interface PingMessage {
   readonly kind: 'ping';
 }
@@ -77,7 +77,7 @@
   readonly kind: 'pong';
 }
 
-/** Announces that the server takes no new call on this connection. */
+/** Asks the client to start no calls and to close after its pending ones. */
 export interface ClosingMessage {
   readonly kind: 'closing';
 }
@@ -97,7 +97,7 @@
   | PongMessage
   | ClosingMessage;
 
-/** A well-formed frame whose content is no message of this protocol. */
+/** Thrown for an invalid or unexpected message, or a call that can't be run. */
 export class ProtocolError extends Error {
   constructor(message: string) {
     super(message);
@@ -107,9 +107,9 @@
 
 type Fields = Readonly<Record<string, unknown>>;
 
-const isId = (value: unknown): boolean =>
+const isNonNegativeInteger = (value: unknown): boolean =>
   Number.isSafeInteger(value) && (value as number) >= 0;
-const isText = (value: unknown): boolean => typeof value === 'string';
+const isString = (value: unknown): boolean => typeof value === 'string';
 const isBytes = (value: unknown): boolean => value instanceof Uint8Array;
 
 const VALID_FIELDS: Readonly<
@@ -117,21 +117,24 @@
 > = {
   challenge: m => isBytes(m.nonce),
   hello: m =>
-    isId(m.version) && isText(m.from) && isBytes(m.nonce) && isBytes(m.proof),
-  welcome: m => isText(m.from) && isBytes(m.proof),
-  req: m => isId(m.id) && isText(m.method),
-  cancel: m => isId(m.id),
-  credit: m => isId(m.id) && isId(m.bytes),
-  part: m => isId(m.id),
-  res: m => isId(m.id),
-  err: m => isId(m.id) && isText(m.message),
+    isNonNegativeInteger(m.version) &&
+    isString(m.from) &&
+    isBytes(m.nonce) &&
+    isBytes(m.proof),
+  welcome: m => isString(m.from) && isBytes(m.proof),
+  req: m => isNonNegativeInteger(m.id) && isString(m.method),
+  cancel: m => isNonNegativeInteger(m.id),
+  credit: m => isNonNegativeInteger(m.id) && isNonNegativeInteger(m.bytes),
+  part: m => isNonNegativeInteger(m.id),
+  res: m => isNonNegativeInteger(m.id),
+  err: m => isNonNegativeInteger(m.id) && isString(m.message),
   ping: () => true,
   pong: () => true,
   closing: () => true,
 };
 
 /**
- * Checks that a decoded frame is a message.
+ * Checks that a decoded frame is a valid message.
  *
  * @example
  * const msg = parseMessage(frame.value);
--- a/src/peers/peer-channel.ts
+++ b/src/peers/peer-channel.ts
@@ -1,4 +1,4 @@
-/** What both ends of a peer connection share: messages, silence and the end. */
+/** Messages, silence detection and closing, for both ends of a connection. */
 
 import type {Socket} from 'node:net';
 import type {Clock} from '../infra/clock.js';
@@ -6,36 +6,36 @@
 import {FrameWriter} from './frame-writer.js';
 import {HANDSHAKE_MAX_FRAME_BYTES} from './handshake.js';
 import {readMessages, type ReceivedMessage} from './message-stream.js';
-import {resolveLogEvent, type PeerLog} from './peer-log.js';
+import {logEventNameFor, type PeerLog} from './peer-log.js';
 import {SilenceMonitor} from './silence-monitor.js';
 
-/** What a channel needs. */
+/** Options of a {@link PeerChannel}. */
 export interface PeerChannelOptions {
   readonly clock: Clock;
   readonly maxFrameBytes: number;
   readonly log: PeerLog;
-  /** The other node's id, or its address until it has introduced itself. */
+  /** Id of the other node, or its address until the handshake is done. */
   readonly peer: string;
   readonly sendsHeartbeats: boolean;
-  /** What follows the end of a silent connection, for the log. */
-  readonly afterSilence: string;
+  /** How a silent connection is replaced after it is closed, for the log. */
+  readonly recoveryHint: string;
   /** Called once, when the channel closes. */
   readonly onClose: (reason: string) => void;
 }
 
-/** How long a handshake may take. */
+/** Time limit of a handshake. */
 export interface HandshakeLimit {
   readonly timeoutMs: number;
-  /** The reason given where it takes longer. */
+  /** Reason for closing the connection when the limit is exceeded. */
   readonly reason: string;
 }
 
-/** A socket between two nodes that closes when it fails or goes silent. */
+/** A socket between two nodes that closes on failure or silence. */
 export class PeerChannel {
   readonly writer: FrameWriter;
-  /** Everything that the other end sends. */
+  /** Messages received from the other end. */
   readonly messages: AsyncGenerator<ReceivedMessage>;
-  /** Names the other end in the log. */
+  /** Name of the other end in the log. */
   peer: string;
   readonly #socket: Socket;
   readonly #options: PeerChannelOptions;
@@ -59,7 +59,7 @@
       onSilent,
     });
     this.messages = readMessages(socket, this.#decoder, () =>
-      this.#monitor.noteReceived(),
+      this.#monitor.recordReceived(),
     );
   }
 
@@ -68,16 +68,19 @@
   }
 
   /**
-   * Shakes hands within the limit, then accepts frames of full size and
-   * watches for silence. Rejects with the error of `shake`.
+   * Runs `handshake` within the limit, then accepts frames of full size and
+   * starts silence detection. Rejects with the error of `handshake`.
    */
-  async open(limit: HandshakeLimit, shake: () => Promise<void>): Promise<void> {
+  async open(
+    limit: HandshakeLimit,
+    handshake: () => Promise<void>,
+  ): Promise<void> {
     const done = new AbortController();
     void this.#options.clock.sleep(limit.timeoutMs, done.signal).then(() => {
       if (!done.signal.aborted) this.close(limit.reason);
     });
     try {
-      await shake();
+      await handshake();
     } finally {
       done.abort();
     }
@@ -85,12 +88,12 @@
     void this.#monitor.run(this.#closed.signal);
   }
 
-  /** Ends the connection behind what was written. */
+  /** Ends the connection once all written data is sent. */
   end(): void {
     this.#socket.end();
   }
 
-  /** Closes the connection at once. */
+  /** Closes the connection immediately. */
   close(reason: string): void {
     if (this.isClosed) return;
     this.#closed.abort();
@@ -98,10 +101,10 @@
     this.#options.onClose(reason);
   }
 
-  /** Logs what ended the connection, unless this node closed it. */
-  logEnd(err: unknown): void {
+  /** Logs the error that ended the connection, unless this node closed it. */
+  logFailure(err: unknown): void {
     if (this.isClosed) return;
-    const event = resolveLogEvent(err);
+    const event = logEventNameFor(err);
     this.#options.log({event, peer: this.peer, detail: String(err)});
   }
 
@@ -109,7 +112,7 @@
     this.#options.log({
       event: 'peer-connection-silent',
       peer: this.peer,
-      detail: `closed; ${this.#options.afterSilence}`,
+      detail: `closed; ${this.#options.recoveryHint}`,
     });
     this.close('connection went silent');
   }
--- a/src/peers/peer-log.ts
+++ b/src/peers/peer-log.ts
@@ -1,32 +1,32 @@
-/** What the peer connections report to the log. */
+/** Log events of peer connections. */
 
 import {FrameError} from './framing.js';
 import {HandshakeError} from './handshake.js';
 import {ProtocolError} from './messages.js';
 
-/** Why a connection ended, or could not be used. */
+/** Why a connection ended or was rejected. */
 export type PeerLogEventName =
   | 'peer-connection-closed'
   | 'peer-connection-silent'
   | 'peer-frame-rejected'
   | 'peer-handshake-rejected';
 
-/** One event; fields are plain values for key=value lines. */
+/** A log event; its fields are printed as key=value pairs. */
 export interface PeerLogEvent {
   readonly event: PeerLogEventName;
-  /** The other node's id, or its address before it introduced itself. */
+  /** Id of the other node, or its address until the handshake is done. */
   readonly peer: string;
   readonly detail: string;
 }
 
-/** Receives events. Must not throw. */
+/** Receives log events; must not throw. */
 export type PeerLog = (event: PeerLogEvent) => void;
 
-/** Drops every event. */
+/** Discards every event. */
 export const ignorePeerLog: PeerLog = () => {};
 
-/** Chooses the event for an error that ended a connection. */
-export function resolveLogEvent(err: unknown): PeerLogEventName {
+/** Returns the log event for an error that ended a connection. */
+export function logEventNameFor(err: unknown): PeerLogEventName {
   if (err instanceof FrameError) return 'peer-frame-rejected';
   if (err instanceof ProtocolError) return 'peer-frame-rejected';
   if (err instanceof HandshakeError) return 'peer-handshake-rejected';
--- a/src/peers/peer-pool.ts
+++ b/src/peers/peer-pool.ts
@@ -1,9 +1,12 @@
-/** Calls other nodes over one connection to each, made on demand. */
+/** Pool of connections to other nodes: one per node, opened on demand. */
 
 import {SystemClock, type Clock} from '../infra/clock.js';
 import {DEFAULT_MAX_FRAME_BYTES} from './framing.js';
 import {ignorePeerLog, type PeerLog} from './peer-log.js';
-import {PeerLink, type PeerLinkOptions} from './peer-link.js';
+import {
+  ClientConnection,
+  type ClientConnectionOptions,
+} from './client-connection.js';
 import {
   PeerError,
   type CallOptions,
@@ -11,30 +14,33 @@
   type PeerCaller,
 } from './types.js';
 
-/** How long a connection may take to be made and proved. */
+/** Default time limit of connecting and the handshake. */
 export const DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
 
-/** How long a connection without calls is kept. */
+/** Default time after which a connection without calls is closed. */
 export const DEFAULT_IDLE_CLOSE_MS = 5_000;
 
-/** Limits on making a connection. */
+/** Time limit and cancellation of connecting. */
 export type ConnectOptions = Pick<CallOptions, 'timeoutMs' | 'signal'>;
 
-/** A connection of its own, to be closed by whoever opened it. */
+/** A connection outside the pool; its opener must close it. */
 export interface PeerSession {
   call(method: string, body: unknown, options: CallOptions): Promise<unknown>;
   close(): void;
 }
 
-/** Also calls over new connections, which test the other node itself. */
+/**
+ * Can also open dedicated connections, which tell whether a node is reachable
+ * even if its pooled connection is broken.
+ */
 export interface FreshPeerCaller extends PeerCaller {
-  /** Connects anew, whatever connections exist; rejects with `notSent`. */
+  /** Opens a new connection besides the pooled one; rejects with `notSent`. */
   openFresh(to: PeerAddress, options: ConnectOptions): Promise<PeerSession>;
 }
 
-/** Settings of a pool. */
+/** Options of a {@link PeerPool}. */
 export interface PeerPoolOptions {
-  /** Id of the calling node. */
+  /** VM id of the calling node. */
   readonly self: string;
   readonly clock?: Clock;
   readonly peerSecret?: string;
@@ -46,18 +52,18 @@
 
 interface PoolEntry {
   readonly address: PeerAddress;
-  readonly opening: Promise<PeerLink>;
-  link?: PeerLink;
+  readonly opening: Promise<ClientConnection>;
+  connection?: ClientConnection;
 }
 
-/** The connections of one node. */
+/** The outgoing connections of one node. */
 export class PeerPool implements FreshPeerCaller {
   readonly #clock: Clock;
   readonly #idleCloseMs: number;
-  readonly #linkOptions: Omit<PeerLinkOptions, 'peer'>;
+  readonly #connectionOptions: Omit<ClientConnectionOptions, 'peer'>;
   readonly #entries = new Map<string, PoolEntry>();
   readonly #closed = new AbortController();
-  #sweeping = false;
+  #isClosingIdle = false;
   #unmatchedAnswers = 0;
 
   /**
@@ -68,7 +74,7 @@
   constructor(options: PeerPoolOptions) {
     this.#clock = options.clock ?? new SystemClock();
     this.#idleCloseMs = options.idleCloseMs ?? DEFAULT_IDLE_CLOSE_MS;
-    this.#linkOptions = {
+    this.#connectionOptions = {
       self: options.self,
       clock: this.#clock,
       connectTimeoutMs: options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS,
@@ -78,16 +84,16 @@
     };
   }
 
-  /** Connections that are open or being opened. */
+  /** Number of connections that are open or being opened. */
   get size(): number {
     return this.#entries.size;
   }
 
-  /** Answers that matched no waiting call, over all connections so far. */
+  /** Number of answers that matched no pending call, on all connections so far. */
   get unmatchedAnswers(): number {
     let count = this.#unmatchedAnswers;
-    for (const {link} of this.#entries.values()) {
-      count += link?.unmatchedAnswers ?? 0;
+    for (const {connection} of this.#entries.values()) {
+      count += connection?.unmatchedAnswers ?? 0;
     }
     return count;
   }
@@ -99,15 +105,27 @@
     options: CallOptions,
   ): Promise<unknown> {
     this.#checkOpen();
-    const open = this.#openLink(to);
+    const open = this.#findUsableConnection(to);
     if (open !== undefined) return open.call(method, body, options);
     const startMs = this.#clock.now();
-    let link = await this.#waitFor(this.#link(to), to, options);
-    if (!link.usable) {
-      const left = this.#remaining(options, startMs);
-      link = await this.#waitFor(this.#link(to), to, left);
+    let connection = await this.#waitForConnection(
+      this.#ensureConnection(to),
+      to,
+      options,
+    );
+    if (!connection.usable) {
+      const remaining = this.#withRemainingTime(options, startMs);
+      connection = await this.#waitForConnection(
+        this.#ensureConnection(to),
+        to,
+        remaining,
+      );
     }
-    return link.call(method, body, this.#remaining(options, startMs));
+    return connection.call(
+      method,
+      body,
+      this.#withRemainingTime(options, startMs),
+    );
   }
 
   async openFresh(
@@ -115,24 +133,27 @@
     options: ConnectOptions,
   ): Promise<PeerSession> {
     this.#checkOpen();
-    const opening = PeerLink.open({...this.#linkOptions, peer: to});
+    const opening = ClientConnection.open({
+      ...this.#connectionOptions,
+      peer: to,
+    });
     try {
-      return await this.#waitFor(opening, to, options);
+      return await this.#waitForConnection(opening, to, options);
     } catch (err) {
       opening.then(
-        link => link.close(),
+        connection => connection.close(),
         () => {},
       );
       throw err;
     }
   }
 
-  /** Closes every connection; waiting calls fail with `lost`. */
+  /** Closes every connection; pending calls fail with `lost`. */
   close(): void {
     this.#closed.abort();
     for (const entry of [...this.#entries.values()]) {
-      this.#forget(entry);
-      entry.link?.close();
+      this.#removeEntry(entry);
+      entry.connection?.close();
     }
   }
 
@@ -141,97 +162,100 @@
     throw new PeerError('notSent', 'this node is closing its connections');
   }
 
-  /** The connection to a node, if it is open already. */
-  #openLink(to: PeerAddress): PeerLink | undefined {
+  /** Returns the connection to a node if it is open and usable. */
+  #findUsableConnection(to: PeerAddress): ClientConnection | undefined {
     const entry = this.#entries.get(to.id);
-    if (entry === undefined || !isCurrent(entry, to)) return undefined;
-    return entry.link?.usable ? entry.link : undefined;
+    if (entry === undefined || !canServe(entry, to)) return undefined;
+    return entry.connection?.usable ? entry.connection : undefined;
   }
 
-  #link(to: PeerAddress): Promise<PeerLink> {
+  #ensureConnection(to: PeerAddress): Promise<ClientConnection> {
     const existing = this.#entries.get(to.id);
-    if (existing !== undefined && isCurrent(existing, to)) {
+    if (existing !== undefined && canServe(existing, to)) {
       return existing.opening;
     }
-    if (existing !== undefined) this.#retire(existing);
+    if (existing !== undefined) this.#drainEntry(existing);
     return this.#open(to).opening;
   }
 
   #open(to: PeerAddress): PoolEntry {
-    const opening = PeerLink.open({...this.#linkOptions, peer: to});
+    const opening = ClientConnection.open({
+      ...this.#connectionOptions,
+      peer: to,
+    });
     const entry: PoolEntry = {address: to, opening};
     this.#entries.set(to.id, entry);
     opening.then(
-      link => {
-        entry.link = link;
-        if (this.#closed.signal.aborted) link.close();
+      connection => {
+        entry.connection = connection;
+        if (this.#closed.signal.aborted) connection.close();
       },
-      () => this.#forget(entry),
+      () => this.#removeEntry(entry),
     );
-    if (!this.#sweeping) void this.#sweep();
+    if (!this.#isClosingIdle) void this.#closeIdleConnections();
     return entry;
   }
 
-  /** Waits for a connection no longer than the call itself may take. */
-  async #waitFor(
-    opening: Promise<PeerLink>,
+  /** Waits for a connection within the time limit of the call. */
+  async #waitForConnection(
+    opening: Promise<ClientConnection>,
     to: PeerAddress,
     {timeoutMs, signal}: ConnectOptions,
-  ): Promise<PeerLink> {
-    const waited = new AbortController();
-    const stop = () => waited.abort();
+  ): Promise<ClientConnection> {
+    const settled = new AbortController();
+    const stop = () => settled.abort();
     signal?.addEventListener('abort', stop, {once: true});
-    const limit = this.#clock.sleep(timeoutMs, waited.signal).then(() => {
+    const timeout = this.#clock.sleep(timeoutMs, settled.signal).then(() => {
       throw new PeerError('notSent', `no connection to ${to.id} in time`);
     });
-    limit.catch(() => {});
+    timeout.catch(() => {});
     try {
       if (signal?.aborted) stop();
-      return await Promise.race([opening, limit]);
+      return await Promise.race([opening, timeout]);
     } finally {
       signal?.removeEventListener('abort', stop);
-      waited.abort();
+      settled.abort();
     }
   }
 
-  #remaining(options: CallOptions, startMs: number): CallOptions {
+  #withRemainingTime(options: CallOptions, startMs: number): CallOptions {
     const elapsedMs = this.#clock.now() - startMs;
     return {...options, timeoutMs: Math.max(1, options.timeoutMs - elapsedMs)};
   }
 
-  /** Lets the calls of a connection end before it closes. */
-  #retire(entry: PoolEntry): void {
-    this.#forget(entry);
+  /** Removes an entry and closes its connection after its pending calls. */
+  #drainEntry(entry: PoolEntry): void {
+    this.#removeEntry(entry);
     entry.opening.then(
-      link => link.drain(),
+      connection => connection.drain(),
       () => {},
     );
   }
 
-  #forget(entry: PoolEntry): void {
+  #removeEntry(entry: PoolEntry): void {
     if (this.#entries.get(entry.address.id) !== entry) return;
     this.#entries.delete(entry.address.id);
-    this.#unmatchedAnswers += entry.link?.unmatchedAnswers ?? 0;
+    this.#unmatchedAnswers += entry.connection?.unmatchedAnswers ?? 0;
   }
 
-  /** Closes idle connections for as long as there are any. */
-  async #sweep(): Promise<void> {
-    this.#sweeping = true;
+  /** Closes idle and unusable connections until the pool is empty or closed. */
+  async #closeIdleConnections(): Promise<void> {
+    this.#isClosingIdle = true;
     while (this.#entries.size > 0 && !this.#closed.signal.aborted) {
       await this.#clock.sleep(this.#idleCloseMs / 2, this.#closed.signal);
-      const idleSinceMs = this.#clock.now() - this.#idleCloseMs;
+      const idleCutoffMs = this.#clock.now() - this.#idleCloseMs;
       for (const entry of [...this.#entries.values()]) {
-        if (entry.link === undefined) continue;
-        const {usable, pendingCalls, lastUsedMs} = entry.link;
-        const idle = pendingCalls === 0 && lastUsedMs <= idleSinceMs;
-        if (idle || !usable) this.#retire(entry);
+        if (entry.connection === undefined) continue;
+        const {usable, pendingCalls, lastUsedMs} = entry.connection;
+        const idle = pendingCalls === 0 && lastUsedMs <= idleCutoffMs;
+        if (idle || !usable) this.#drainEntry(entry);
       }
     }
-    this.#sweeping = false;
+    this.#isClosingIdle = false;
   }
 }
 
-function isCurrent({address, link}: PoolEntry, to: PeerAddress): boolean {
+function canServe({address, connection}: PoolEntry, to: PeerAddress): boolean {
   if (address.host !== to.host || address.port !== to.port) return false;
-  return link === undefined || link.usable;
+  return connection === undefined || connection.usable;
 }
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Serves the calls of other nodes. */
+/** Accepts connections from other nodes and serves their calls. */
 
 import {createServer, type AddressInfo, type Server} from 'node:net';
 import {SystemClock, type Clock} from '../infra/clock.js';
@@ -7,26 +7,26 @@
 import {ServerConnection} from './server-connection.js';
 import type {PeerAddress, PeerHandler} from './types.js';
 
-/** How long a graceful close waits for running calls. */
+/** Default time that a graceful close waits for running calls. */
 export const DEFAULT_CLOSE_GRACE_MS = 30_000;
 
-/** Settings of a server. */
+/** Options of a {@link PeerServer}. */
 export interface PeerServerOptions {
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 selects any free port. */
   readonly port: number;
-  /** Id of this node. */
+  /** VM id of this node. */
   readonly self: string;
-  /** May be added to while the server runs. */
+  /** Handlers by method; may grow while the server runs. */
   readonly handlers: ReadonlyMap<string, PeerHandler>;
-  /** Shared secret of the fleet; callers must prove that they know it. */
+  /** Secret that all nodes share; clients must prove that they know it. */
   readonly peerSecret?: string;
   readonly clock?: Clock;
   readonly maxFrameBytes?: number;
   readonly log?: PeerLog;
 }
 
-/** A listening server. */
+/** TCP server for calls from other nodes. */
 export class PeerServer {
   readonly #server: Server;
   readonly #options: PeerServerOptions;
@@ -52,18 +52,18 @@
     );
   }
 
-  /** Where the server listens; known once the port is open. */
+  /** Address of the server; its port is final once `listen` resolves. */
   get address(): PeerAddress {
     const {self, host} = this.#options;
     return {id: self, host, port: this.#port};
   }
 
-  /** Open connections. */
+  /** Number of open connections. */
   get connections(): number {
     return this.#connections.size;
   }
 
-  /** Resolves once the port is open. */
+  /** Starts listening; resolves once the port is open. */
   listen(): Promise<void> {
     const {host, port} = this.#options;
     return new Promise((resolve, reject) => {
@@ -77,7 +77,10 @@
     });
   }
 
-  /** Takes no new connection and lets running calls end within the grace. */
+  /**
+   * Accepts no new connections, waits up to `graceMs` for running calls, then
+   * closes the connections that are left.
+   */
   async close(graceMs = DEFAULT_CLOSE_GRACE_MS): Promise<void> {
     this.#server.close();
     for (const connection of this.#connections.keys()) connection.drain();
@@ -100,7 +103,7 @@
 }
 
 /**
- * Starts a server.
+ * Creates a server and starts listening.
  *
  * @example
  * const handlers = new Map([['echo', async (body: unknown) => body]]);
--- a/src/peers/pending-call.ts
+++ b/src/peers/pending-call.ts
@@ -1,32 +1,32 @@
-/** A call that waits for its answer. */
+/** Client side of a call that waits for its answer. */
 
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import type {PeerMessage} from './messages.js';
 import {PeerError, type CallOptions} from './types.js';
 
-/** Bytes of consumed parts after which the caller grants new credit. */
+/** Bytes of consumed parts after which the client sends new credit. */
 const CREDIT_GRANT_BYTES = 64 * 1024;
 
-/** Sends a message to the server of the call. */
+/** Sends a message to the node that serves the call. */
 export type SendMessage = (message: PeerMessage) => void;
 
-/** The caller's side of one call that has been sent. */
+/** A call whose request has been sent. */
 export class PendingCall {
   readonly #id: number;
   readonly #options: CallOptions;
   readonly #send: SendMessage;
   readonly #cancelTimeout: () => void;
   #isFinished = false;
-  readonly #abort = () => this.#giveUp('call was cancelled by its caller');
+  readonly #onAbort = () => this.#cancel('call was cancelled by its caller');
   #settle!: {
     resolve: (value: unknown) => void;
     reject: (err: unknown) => void;
   };
-  #parts: Promise<void> = Promise.resolve();
+  #deliveries: Promise<void> = Promise.resolve();
   #ungrantedBytes = 0;
 
-  /** Settles with the answer. */
+  /** Resolves to the result or rejects with the failure. */
   readonly answer: Promise<unknown>;
 
   constructor(
@@ -41,29 +41,29 @@
     this.answer = new Promise((resolve, reject) => {
       this.#settle = {resolve, reject};
     });
-    options.signal?.addEventListener('abort', this.#abort, {once: true});
+    options.signal?.addEventListener('abort', this.#onAbort, {once: true});
     const {timeoutMs} = options;
     this.#cancelTimeout = startTimer(clock, timeoutMs, () =>
-      this.#giveUp(`no answer within ${timeoutMs} ms`),
+      this.#cancel(`no answer within ${timeoutMs} ms`),
     );
   }
 
-  /** Queues one part for the caller, behind those before it. */
+  /** Delivers one part to the caller after the earlier parts. */
   onPart(body: unknown, bytes: number): void {
-    this.#parts = this.#parts.then(() => this.#deliver(body, bytes));
+    this.#deliveries = this.#deliveries.then(() => this.#deliver(body, bytes));
   }
 
-  /** Ends the call well, after the parts before it are consumed. */
+  /** Resolves the call once the caller has consumed all parts. */
   onResult(body: unknown): void {
-    this.#parts = this.#parts.then(() => {
-      this.#finish();
+    this.#deliveries = this.#deliveries.then(() => {
+      this.#release();
       this.#settle.resolve(body);
     });
   }
 
-  /** Ends the call with an error. */
+  /** Rejects the call immediately. */
   fail(err: unknown): void {
-    this.#finish();
+    this.#release();
     this.#settle.reject(err);
   }
 
@@ -82,13 +82,13 @@
     this.#ungrantedBytes = 0;
   }
 
-  #giveUp(reason: string): void {
+  #cancel(reason: string): void {
     this.#send({kind: 'cancel', id: this.#id});
     this.fail(new PeerError('lost', reason));
   }
 
-  #finish(): void {
-    this.#options.signal?.removeEventListener('abort', this.#abort);
+  #release(): void {
+    this.#options.signal?.removeEventListener('abort', this.#onAbort);
     this.#isFinished = true;
     this.#cancelTimeout();
   }
--- a/src/peers/running-call.ts
+++ b/src/peers/running-call.ts
@@ -1,20 +1,20 @@
-/** A call that this node serves. */
+/** Server side of a call. */
 
 import {PeerError, type PeerCallContext} from './types.js';
 
-/** Bytes of parts that may be sent ahead of the caller's reading. */
+/** Flow control window: bytes of parts sent ahead of the caller's reading. */
 export const CALL_WINDOW_BYTES = 256 * 1024;
 
-/** The server's side of one call; also what its handler sees of it. */
+/** A call that this node serves; also the context of its handler. */
 export class RunningCall implements PeerCallContext {
-  readonly #aborted = new AbortController();
+  readonly #abortController = new AbortController();
   readonly #writePart: (body: unknown) => number;
   #unacknowledgedBytes = 0;
-  #tail: Promise<void> = Promise.resolve();
-  #wake: () => void = () => {};
+  #lastSend: Promise<void> = Promise.resolve();
+  #resumeSending: () => void = () => {};
 
   /**
-   * @param writePart Writes a part to the connection and returns its bytes.
+   * @param writePart Writes a part to the connection and returns its size.
    */
   constructor(
     readonly from: string,
@@ -24,31 +24,31 @@
   }
 
   get signal(): AbortSignal {
-    return this.#aborted.signal;
+    return this.#abortController.signal;
   }
 
   send(part: unknown): Promise<void> {
-    const sent = this.#tail.then(() => this.#sendInTurn(part));
-    this.#tail = sent.catch(() => {});
+    const sent = this.#lastSend.then(() => this.#sendWithinWindow(part));
+    this.#lastSend = sent.catch(() => {});
     return sent;
   }
 
-  /** Notes that the caller has consumed parts of this many bytes. */
+  /** Opens the window by the size of the parts that the caller consumed. */
   addCredit(bytes: number): void {
     this.#unacknowledgedBytes = Math.max(0, this.#unacknowledgedBytes - bytes);
-    this.#wake();
+    this.#resumeSending();
   }
 
-  /** Tells the handler that nobody waits for the answer. */
+  /** Aborts the handler's signal and any send that waits for the window. */
   abort(reason: string): void {
-    this.#aborted.abort(new PeerError('lost', reason));
-    this.#wake();
+    this.#abortController.abort(new PeerError('lost', reason));
+    this.#resumeSending();
   }
 
-  async #sendInTurn(part: unknown): Promise<void> {
+  async #sendWithinWindow(part: unknown): Promise<void> {
     this.signal.throwIfAborted();
     while (this.#unacknowledgedBytes >= CALL_WINDOW_BYTES) {
-      await new Promise<void>(resolve => (this.#wake = resolve));
+      await new Promise<void>(resolve => (this.#resumeSending = resolve));
       this.signal.throwIfAborted();
     }
     this.#unacknowledgedBytes += this.#writePart(part);
--- a/src/peers/server-connection.ts
+++ b/src/peers/server-connection.ts
@@ -1,4 +1,4 @@
-/** One incoming connection from one node. */
+/** Server side of a connection from another node. */
 
 import type {Socket} from 'node:net';
 import type {Clock} from '../infra/clock.js';
@@ -20,18 +20,18 @@
 import {RunningCall} from './running-call.js';
 import type {PeerHandler} from './types.js';
 
-/** How long a stranger may take to prove itself. */
+/** Time limit for an unauthenticated peer to complete the handshake. */
 const HANDSHAKE_LIMIT = {timeoutMs: 2_000, reason: 'handshake timed out'};
 
-/** Unread answers of a connection beyond which its requests wait. */
+/** Backpressure: write buffer size beyond which no requests are read. */
 const MAX_QUEUED_BYTES = 8 * 1024 * 1024;
 
-/** Calls that one connection may run at once. */
+/** Maximum number of concurrent calls per connection. */
 const MAX_RUNNING_CALLS = 4_096;
 
-/** What a connection needs. */
+/** Options of a {@link ServerConnection}. */
 export interface ServerConnectionOptions {
-  /** Id of this node. */
+  /** VM id of this node. */
   readonly self: string;
   readonly handlers: ReadonlyMap<string, PeerHandler>;
   readonly clock: Clock;
@@ -44,7 +44,7 @@
 export class ServerConnection {
   readonly #options: ServerConnectionOptions;
   readonly #channel: PeerChannel;
-  readonly #running = new Map<number, RunningCall>();
+  readonly #runningCalls = new Map<number, RunningCall>();
   #ready = false;
 
   constructor(socket: Socket, options: ServerConnectionOptions) {
@@ -55,8 +55,8 @@
       log: options.log,
       peer: `${socket.remoteAddress}:${socket.remotePort}`,
       sendsHeartbeats: false,
-      afterSilence: 'the caller connects again',
-      onClose: reason => this.#abortAll(reason),
+      recoveryHint: 'the other node reconnects',
+      onClose: reason => this.#abortRunningCalls(reason),
     });
   }
 
@@ -64,34 +64,34 @@
   async run(): Promise<void> {
     const {messages, writer} = this.#channel;
     try {
-      await this.#channel.open(HANDSHAKE_LIMIT, () => this.#shakeHands());
+      await this.#channel.open(HANDSHAKE_LIMIT, () => this.#performHandshake());
       for await (const {message} of messages) {
         this.#onMessage(message);
-        if (writer.queuedBytes > MAX_QUEUED_BYTES) await writer.drained();
+        if (writer.queuedBytes > MAX_QUEUED_BYTES) await writer.waitForDrain();
       }
     } catch (err) {
-      this.#channel.logEnd(err);
+      this.#channel.logFailure(err);
     } finally {
       this.close('connection of the caller was lost');
     }
   }
 
-  /** Asks the caller to end the connection behind its last call. */
+  /** Asks the client to close the connection after its last pending call. */
   drain(): void {
     if (this.#ready) this.#channel.writer.write({kind: 'closing'});
     else this.close('this node is closing');
   }
 
-  /** Closes the connection and aborts its calls. */
+  /** Closes the connection and aborts its running calls. */
   close(reason: string): void {
     this.#channel.close(reason);
   }
 
-  #abortAll(reason: string): void {
-    for (const call of this.#running.values()) call.abort(reason);
+  #abortRunningCalls(reason: string): void {
+    for (const call of this.#runningCalls.values()) call.abort(reason);
   }
 
-  async #shakeHands(): Promise<void> {
+  async #performHandshake(): Promise<void> {
     const {self, peerSecret} = this.#options;
     const {messages, writer} = this.#channel;
     const serverNonce = createNonce();
@@ -119,9 +119,9 @@
       case 'req':
         return void this.#serve(message);
       case 'cancel':
-        return this.#running.get(message.id)?.abort('caller gave up');
+        return this.#runningCalls.get(message.id)?.abort('caller gave up');
       case 'credit':
-        return this.#running.get(message.id)?.addCredit(message.bytes);
+        return this.#runningCalls.get(message.id)?.addCredit(message.bytes);
       case 'ping':
         return void this.#channel.writer.write({kind: 'pong'});
       default:
@@ -130,41 +130,49 @@
   }
 
   async #serve({id, method, body}: RequestMessage): Promise<void> {
-    if (this.#running.has(id)) {
+    if (this.#runningCalls.has(id)) {
       return this.close(`caller used the call id ${id} twice`);
     }
     const call = new RunningCall(this.#channel.peer, part =>
       this.#channel.writer.write({kind: 'part', id, body: part}),
     );
-    this.#running.set(id, call);
+    this.#runningCalls.set(id, call);
     try {
-      const result = await this.#run(method, body, call);
+      const result = await this.#callHandler(method, body, call);
       if (call.signal.aborted) return;
       this.#channel.writer.write({kind: 'res', id, body: result});
     } catch (err) {
       if (call.signal.aborted) return;
-      this.#channel.writer.write({kind: 'err', id, message: toMessage(err)});
+      this.#channel.writer.write({
+        kind: 'err',
+        id,
+        message: errorMessageOf(err),
+      });
     } finally {
-      this.#running.delete(id);
+      this.#runningCalls.delete(id);
     }
   }
 
-  #run(method: string, body: unknown, call: RunningCall): Promise<unknown> {
+  #callHandler(
+    method: string,
+    body: unknown,
+    call: RunningCall,
+  ): Promise<unknown> {
     const handler = this.#options.handlers.get(method);
     if (handler === undefined) {
       throw new ProtocolError(`${this.#options.self} has no method ${method}`);
     }
-    if (this.#running.size > MAX_RUNNING_CALLS) {
+    if (this.#runningCalls.size > MAX_RUNNING_CALLS) {
       throw new ProtocolError(`more than ${MAX_RUNNING_CALLS} calls at once`);
     }
     return handler(body, call);
   }
 }
 
-/** Longest error text sent to a caller, in characters. */
+/** Maximum length of an error message sent to a client. */
 const MAX_ERROR_CHARACTERS = 1_024;
 
-function toMessage(err: unknown): string {
+function errorMessageOf(err: unknown): string {
   const text = err instanceof Error ? err.message : String(err);
   return text.slice(0, MAX_ERROR_CHARACTERS);
 }
--- a/src/peers/silence-monitor.ts
+++ b/src/peers/silence-monitor.ts
@@ -1,28 +1,29 @@
-/** Notices a connection that has gone silent. */
+/** Detects connections on which nothing arrives any more. */
 
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
 import type {FrameWriter} from './frame-writer.js';
 
-/** How often a connection is looked at and, if idle, pinged. */
+/** Interval at which a connection is checked and, if idle, pinged. */
 export const HEARTBEAT_INTERVAL_MS = 1_000;
 
-/** Intervals without a byte after which a connection counts as silent. */
-export const SILENT_INTERVALS = 3;
+/** Consecutive intervals without data after which a connection is silent. */
+export const MAX_SILENT_INTERVALS = 3;
 
-/** What a monitor needs. */
+/** Options of a {@link SilenceMonitor}. */
 export interface SilenceMonitorOptions {
   readonly clock: Clock;
   readonly writer: FrameWriter;
-  /** Whether this end sends the heartbeats; the other end answers them. */
+  /** True on the client side; the server only answers heartbeats. */
   readonly sendsHeartbeats: boolean;
   /** Called once, when the connection has been silent for too long. */
   readonly onSilent: () => void;
 }
 
 /**
- * Counts intervals rather than comparing times: a process that was paused has
- * missed no interval, so it reads what has arrived before it decides.
+ * Reports a connection that received nothing for several intervals. It counts
+ * intervals instead of comparing timestamps: no interval passes while the
+ * process is paused, so after a pause it reads what arrived before it decides.
  */
 export class SilenceMonitor {
   readonly #options: SilenceMonitorOptions;
@@ -33,12 +34,12 @@
     this.#options = options;
   }
 
-  /** Notes that bytes arrived. */
-  noteReceived(): void {
+  /** Records that data arrived. */
+  recordReceived(): void {
     this.#received = true;
   }
 
-  /** Watches until `signal` aborts or the connection is silent. */
+  /** Runs until `signal` aborts or the connection is silent. */
   async run(signal: AbortSignal): Promise<void> {
     const {clock, writer, sendsHeartbeats, onSilent} = this.#options;
     let framesSent = writer.framesSent;
@@ -46,7 +47,7 @@
       await sleepToTick(clock, HEARTBEAT_INTERVAL_MS, signal);
       if (signal.aborted) return;
       this.#silentIntervals = this.#received ? 0 : this.#silentIntervals + 1;
-      if (this.#silentIntervals >= SILENT_INTERVALS) return onSilent();
+      if (this.#silentIntervals >= MAX_SILENT_INTERVALS) return onSilent();
       const idle = !this.#received || writer.framesSent === framesSent;
       framesSent = writer.framesSent;
       this.#received = false;
--- a/src/peers/types.ts
+++ b/src/peers/types.ts
@@ -1,10 +1,10 @@
-/** How nodes call one another. Bodies are plain data that cbor-x can carry. */
+/** Types of calls between nodes. Bodies are plain data that CBOR can encode. */
 
-/** How a call ended without an answer. */
+/** Why a call failed. */
 export type PeerFailureKind =
   /** The request never left this node. */
   | 'notSent'
-  /** The request was sent; whether it ran is unknown. */
+  /** The request was sent but not answered; whether it ran is unknown. */
   | 'lost'
   /** The other node answered with an error. */
   | 'failed';
@@ -20,24 +20,27 @@
   }
 }
 
-/** Where a node listens. */
+/** Id of a node and the address on which it listens for calls. */
 export interface PeerAddress {
   readonly id: string;
   readonly host: string;
   readonly port: number;
 }
 
-/** Limits of one call. */
+/** Time limit, cancellation and streaming of one call. */
 export interface CallOptions {
-  /** Milliseconds until the call fails with `lost`. */
+  /**
+   * Milliseconds until the call fails: with `notSent` before its request is
+   * sent, with `lost` after.
+   */
   readonly timeoutMs: number;
-  /** Tells the other node that the answer is no longer wanted. */
+  /** Cancels the call; the other node aborts its handler. */
   readonly signal?: AbortSignal;
-  /** Receives the parts of a streamed answer in order, one at a time. */
+  /** Called with the parts of a streamed answer, in order, one at a time. */
   readonly onPart?: (part: unknown) => void | Promise<void>;
 }
 
-/** Calls other nodes; one connection to each, made on demand. */
+/** Calls other nodes over one connection per node, opened on demand. */
 export interface PeerCaller {
   call(
     to: PeerAddress,
@@ -47,17 +50,17 @@
   ): Promise<unknown>;
 }
 
-/** What a handler knows of the call that it serves. */
+/** Context that a handler receives with a call. */
 export interface PeerCallContext {
-  /** The calling node's VM id, as it introduced itself. */
+  /** VM id that the calling node sent in its handshake. */
   readonly from: string;
-  /** Aborts when the caller gave up or its connection was lost. */
+  /** Aborts when the caller cancels the call or the connection closes. */
   readonly signal: AbortSignal;
-  /** Sends one part of a streamed answer; waits while the caller is slow. */
+  /** Sends one part of a streamed answer; waits while the caller reads slowly. */
   send(part: unknown): Promise<void>;
 }
 
-/** Serves one method. The resolved value ends the answer. */
+/** Handles the calls of one method; resolves to the result. */
 export type PeerHandler = (
   body: unknown,
   ctx: PeerCallContext,
