--- a/src/cli/commands.ts
+++ b/src/cli/commands.ts
@@ -1,4 +1,4 @@
-/** The operators' commands. */
+/** The `zinnia` commands for operators: all but `node`. */
 import type {CommandModule} from 'yargs';
 import {explainCommand} from './explain.js';
 import {groupCommand} from './group.js';
@@ -9,12 +9,12 @@
 import {vmCommand} from './vm.js';
 
 /**
- * The commands, for the program's command line.
+ * Command modules to register with yargs.
  *
  * @example
- * for (const command of configurationCommands) cli.command(command);
+ * for (const command of operatorCommands) cli.command(command);
  */
-export const configurationCommands: readonly CommandModule[] = [
+export const operatorCommands: readonly CommandModule[] = [
   tableCommand,
   keyCommand,
   groupCommand,
--- a/src/cli/context.ts
+++ b/src/cli/context.ts
@@ -1,4 +1,4 @@
-/** What a command works with, and how it ends. */
+/** Dependencies, output and error handling shared by the commands. */
 import {SystemClock, SystemRandom, type Clock} from '../infra/clock.js';
 import {EtcdStore} from '../infra/etcd-store.js';
 import {StoreError, type Store} from '../infra/store.js';
@@ -8,15 +8,15 @@
 import {EXIT, type ExitCode} from './exit-codes.js';
 import type {StoreArgs} from './store-option.js';
 
-/** Where a command writes. */
+/** Output streams of a command. */
 export interface Output {
-  /** A line of the result. */
+  /** Writes a line of the result to standard output. */
   print(line: string): void;
-  /** A line beside the result. */
-  note(line: string): void;
+  /** Writes an error, a warning or a remark to standard error. */
+  printDiagnostic(line: string): void;
 }
 
-/** What a command works with. */
+/** Dependencies of a command. */
 export interface CommandContext {
   readonly store: Store;
   readonly editor: ConfigEditor;
@@ -24,7 +24,7 @@
   readonly output: Output;
 }
 
-/** The input of a command is invalid; the message says what to do. */
+/** A failure that the operator can fix; the message says how. */
 export class CommandError extends Error {
   constructor(message: string) {
     super(message);
@@ -32,13 +32,13 @@
   }
 }
 
-/** The process's own standard output and error. */
+/** Writes to the standard output and error of the process. */
 export const CONSOLE_OUTPUT: Output = {
   print: line => console.log(line),
-  note: line => console.error(line),
+  printDiagnostic: line => console.error(line),
 };
 
-/** Builds the context of a command from its options. */
+/** Creates the context of a command from its options. */
 export function createContext(args: StoreArgs): CommandContext {
   const store = new EtcdStore({url: args.store});
   const clock = new SystemClock();
@@ -47,7 +47,7 @@
   return {store, editor, clock, output: CONSOLE_OUTPUT};
 }
 
-/** Runs a command and leaves its exit code to the process. */
+/** Runs a command and sets the exit code of the process. */
 export async function runCommand(
   args: StoreArgs,
   command: (ctx: CommandContext) => Promise<ExitCode>,
@@ -56,7 +56,7 @@
   process.exitCode = await reportErrors(ctx.output, () => command(ctx));
 }
 
-/** Prints an expected error as `error: ...` and returns its exit code. */
+/** Prints an expected error as `error: ...` and returns the exit code. */
 export async function reportErrors(
   output: Output,
   command: () => Promise<ExitCode>,
@@ -66,17 +66,17 @@
   } catch (err) {
     if (err instanceof TableError) {
       for (const fault of err.faults) {
-        output.note(`error: ${formatFault(fault)}`);
+        output.printDiagnostic(`error: ${formatFault(fault)}`);
       }
       return EXIT.refused;
     }
-    if (!isExpected(err)) throw err;
-    output.note(`error: ${err.message}`);
+    if (!isExpectedError(err)) throw err;
+    output.printDiagnostic(`error: ${err.message}`);
     return err instanceof StoreError ? EXIT.unreachable : EXIT.refused;
   }
 }
 
-function isExpected(err: unknown): err is Error {
+function isExpectedError(err: unknown): err is Error {
   return (
     err instanceof StoreError ||
     err instanceof DocumentError ||
--- a/src/cli/durations.ts
+++ b/src/cli/durations.ts
@@ -1,4 +1,4 @@
-/** Durations as operators write them. */
+/** Parser for durations such as `10s`. */
 
 const UNITS_MS: Readonly<Record<string, number>> = {
   ms: 1,
@@ -8,7 +8,7 @@
 };
 
 /**
- * Reads a duration in milliseconds, or throws.
+ * Parses a duration into milliseconds; throws if it is malformed.
  *
  * @example
  * parseDuration('10s') === 10_000;
--- a/src/cli/exit-codes.ts
+++ b/src/cli/exit-codes.ts
@@ -1,13 +1,13 @@
-/** The exit codes of every operator's command. */
+/** Exit codes of the commands. */
 export const EXIT = {
   ok: 0,
   /** The change was refused, or its input is invalid. */
   refused: 1,
-  /** The command line can't be understood. */
+  /** The command line or a setting is invalid. */
   usage: 2,
-  /** Accepted, but not seen in force everywhere in time. */
+  /** Accepted, but not confirmed in force on every VM before the timeout. */
   notInForce: 3,
-  /** The store can't be reached, or did not say what became of the edit. */
+  /** The store is unreachable, or the outcome of the change is unknown. */
   unreachable: 4,
 } as const;
 
--- a/src/cli/explain.ts
+++ b/src/cli/explain.ts
@@ -1,8 +1,8 @@
-/** `zinnia explain`: why a request ended as it did, from the nodes' logs. */
+/** `zinnia explain`: explains the outcome of a request from the nodes' logs. */
 import {readFile} from 'node:fs/promises';
 import type {CommandModule} from 'yargs';
-import {explainRequest} from '../explain/chain.js';
-import {formatChain} from '../explain/format-chain.js';
+import {explainRequest} from '../explain/timeline.js';
+import {formatTimeline} from '../explain/format-timeline.js';
 import {parseLogLine, type LogLine} from '../explain/log-line.js';
 import {
   CommandError,
@@ -12,13 +12,13 @@
 } from './context.js';
 import {EXIT, type ExitCode} from './exit-codes.js';
 
-/** What the command takes. */
+/** Arguments of the command. */
 export interface ExplainArgs {
   readonly request: string;
   readonly logs: readonly string[];
 }
 
-/** The command. */
+/** The yargs module of `zinnia explain`. */
 export const explainCommand: CommandModule = {
   command: 'explain <request> <logs..>',
   describe: 'Print what the end of a request was decided from',
@@ -40,7 +40,7 @@
   },
 };
 
-/** Prints the chain of one request. */
+/** Prints the log lines that explain the outcome of a request. */
 export async function explain(
   {request, logs}: ExplainArgs,
   output: Output,
@@ -54,7 +54,7 @@
         'no line, and suppressed= tells where lines were left out',
     );
   }
-  for (const line of formatChain(steps)) output.print(line);
+  for (const line of formatTimeline(steps)) output.print(line);
   return EXIT.ok;
 }
 
--- a/src/cli/finish-edit.ts
+++ b/src/cli/finish-edit.ts
@@ -1,18 +1,22 @@
-/** Reports an edit and, if asked, waits until it is in force. */
+/** Reports the result of an edit and, with `--wait`, waits for its rollout. */
 import {randomUUID} from 'node:crypto';
 import {describeEditResult, type EditResult} from '../rollout/edit-result.js';
 import type {EditIdentity} from '../rollout/editor.js';
 import type {CommandContext} from './context.js';
 import {EXIT, type ExitCode} from './exit-codes.js';
-import {formatInForce, isInForce, waitInForce} from './in-force.js';
+import {
+  formatInForce,
+  isInForceEverywhere,
+  waitUntilInForce,
+} from './in-force.js';
 import type {EditArgs} from './store-option.js';
 
-/** Who edits, under a new id unless the operator repeats an edit. */
-export function createIdentity(args: EditArgs): EditIdentity {
+/** Identity of an edit: `--edit-id` if given, so that a retry applies once. */
+export function createEditIdentity(args: EditArgs): EditIdentity {
   return {id: args.editId ?? randomUUID(), by: args.by};
 }
 
-/** Prints what became of an edit and waits for it with `--wait`. */
+/** Prints the result of an edit; with `--wait`, waits until it is in force. */
 export async function finishEdit(
   ctx: CommandContext,
   args: EditArgs,
@@ -26,11 +30,11 @@
       return args.wait ? waitForVersion(ctx, args, result.version) : EXIT.ok;
     case 'conflict':
     case 'refused':
-      ctx.output.note(`error: ${text}`);
+      ctx.output.printDiagnostic(`error: ${text}`);
       return EXIT.refused;
     case 'unreachable':
     case 'unsettled':
-      ctx.output.note(`error: ${text}`);
+      ctx.output.printDiagnostic(`error: ${text}`);
       return EXIT.unreachable;
   }
 }
@@ -42,10 +46,10 @@
 ): Promise<ExitCode> {
   const {store, clock} = ctx;
   const timeoutMs = args.timeout;
-  const report = await waitInForce({store, clock, version, timeoutMs});
+  const report = await waitUntilInForce({store, clock, version, timeoutMs});
   for (const line of formatInForce(report)) ctx.output.print(line);
-  if (isInForce(report)) return EXIT.ok;
-  ctx.output.note(
+  if (isInForceEverywhere(report)) return EXIT.ok;
+  ctx.output.printDiagnostic(
     `error: version ${version} was accepted but not seen in force everywhere ` +
       `within ${timeoutMs} ms; see zinnia vm list, it stays accepted`,
   );
--- a/src/cli/group-api.ts
+++ b/src/cli/group-api.ts
@@ -1,10 +1,10 @@
-/** What the group commands ask of the VMs' admin ports. */
+/** Client for the group endpoints of the VMs' admin ports. */
 import * as z from 'zod';
 import type {VmRecord} from '../infra/vm-list.js';
 import {adminUrl} from './report-statements.js';
 
 const GROUPS_TIMEOUT_MS = 2_000;
-/** Longer than a node lets its home take over a switch. */
+/** Above the 10 s that a node waits for the home to carry out a switch. */
 const SWITCH_TIMEOUT_MS = 15_000;
 
 const positionSchema = z.object({term: z.number(), offset: z.number()});
@@ -31,7 +31,7 @@
       }),
       status: statusSchema.optional(),
       reachable: z.boolean(),
-      // JSON has no infinity: null when it never answered.
+      // null if the database never answered: JSON cannot represent Infinity.
       unreachableMs: z.number().nullable(),
     }),
   ),
@@ -62,38 +62,38 @@
   }),
 ]);
 
-/** A group as its home on one VM sees it. */
+/** State of a group as reported by its home on one VM. */
 export type ReportedView = z.output<typeof viewSchema>;
 
-/** The homes that a VM knows of, and the views of its own homes. */
-export type GroupsAnswer = z.output<typeof groupsSchema>;
+/** The home of each group according to a VM, and the views of its own homes. */
+export type GroupsResponse = z.output<typeof groupsSchema>;
 
-/** The outcome of a planned switch as it comes over HTTP. */
+/** Outcome of a planned switch, as the admin port reports it. */
 export type ReportedSwitch = z.output<typeof switchSchema>;
 
-/** The outcome of an order to a VM. */
-export type SwitchAnswer =
+/** Outcome of requesting a switch from a VM. */
+export type SwitchResponse =
   | {readonly kind: 'answered'; readonly result: ReportedSwitch}
-  /** The VM refused the order; nothing was changed. */
+  /** The VM refused the request; nothing was changed. */
   | {readonly kind: 'rejected'; readonly reason: string}
-  /** It may have been carried out. */
+  /** The switch may have been carried out. */
   | {readonly kind: 'unknown'; readonly reason: string};
 
-/** Speaks to the admin ports about groups. */
+/** Group operations of a VM's admin port. */
 export interface GroupApi {
-  /** Undefined when the VM gives no answer. */
-  readGroups(vm: VmRecord): Promise<GroupsAnswer | undefined>;
-  /** Orders a switch once; never repeats it. */
+  /** Returns undefined if the VM does not answer. */
+  readGroups(vm: VmRecord): Promise<GroupsResponse | undefined>;
+  /** Requests a switch; never retries, as the switch may have happened. */
   switchPrimary(
     vm: VmRecord,
     group: string,
     databaseId: string,
-  ): Promise<SwitchAnswer>;
+  ): Promise<SwitchResponse>;
 }
 
-/** Speaks HTTP. */
+/** {@link GroupApi} over HTTP. */
 export class HttpGroupApi implements GroupApi {
-  async readGroups(vm: VmRecord): Promise<GroupsAnswer | undefined> {
+  async readGroups(vm: VmRecord): Promise<GroupsResponse | undefined> {
     try {
       const res = await fetch(`${adminUrl(vm)}/groups`, {
         signal: AbortSignal.timeout(GROUPS_TIMEOUT_MS),
@@ -108,7 +108,7 @@
     vm: VmRecord,
     group: string,
     databaseId: string,
-  ): Promise<SwitchAnswer> {
+  ): Promise<SwitchResponse> {
     try {
       const res = await fetch(`${adminUrl(vm)}/switch`, {
         method: 'POST',
@@ -117,8 +117,8 @@
       });
       const body: unknown = await res.json();
       if (res.ok) return {kind: 'answered', result: switchSchema.parse(body)};
-      const reason = readError(body);
-      // Only 404 is sure to be given before the order.
+      const reason = readErrorMessage(body);
+      // Only a 404 (unknown group) proves that no switch was started.
       if (res.status === 404) return {kind: 'rejected', reason};
       return {kind: 'unknown', reason};
     } catch (err) {
@@ -128,7 +128,7 @@
   }
 }
 
-function readError(body: unknown): string {
+function readErrorMessage(body: unknown): string {
   const {error} = (body ?? {}) as {readonly error?: unknown};
   return typeof error === 'string' ? error : 'no reason given';
 }
--- a/src/cli/group-status.ts
+++ b/src/cli/group-status.ts
@@ -1,4 +1,4 @@
-/** `zinnia group status`: each group as its home sees it. */
+/** `zinnia group status`: prints each group's state as its home reports it. */
 import type {CommandModule} from 'yargs';
 import type {Store} from '../infra/store.js';
 import type {VmRecord} from '../infra/vm-list.js';
@@ -8,7 +8,7 @@
 import {
   HttpGroupApi,
   type GroupApi,
-  type GroupsAnswer,
+  type GroupsResponse,
   type ReportedView,
 } from './group-api.js';
 import {readVmList} from './platform-vms.js';
@@ -18,24 +18,25 @@
   readonly group: string | undefined;
 }
 
-/** A VM and what it says of the groups. */
+/** A VM and its response about the groups. */
 export interface VmGroups {
   readonly vm: VmRecord;
-  /** Undefined when it gave no answer. */
-  readonly answer: GroupsAnswer | undefined;
+  /** Undefined if the VM did not answer. */
+  readonly answer: GroupsResponse | undefined;
 }
 
-/** What one home VM says of a group. */
+/** State of a group, merged from the responses of all VMs. */
 export interface GroupStatus {
   readonly group: string;
-  /** The VM that most of the VMs take for the home. */
+  /** The VM that most VMs report as the group's home. */
   readonly home: string | undefined;
-  /** The view of that VM, else of any other; undefined if none has one. */
+  /** The view of the home, or else of any VM that has one. */
   readonly view: ReportedView | undefined;
+  /** The VM that reported the view. */
   readonly seenBy: string | undefined;
 }
 
-/** Asks every listed VM for its groups. */
+/** Requests the groups from every listed VM. */
 export async function readAllGroups(
   store: Store,
   api: GroupApi = new HttpGroupApi(),
@@ -47,12 +48,12 @@
 }
 
 /**
- * Combines what the VMs say: the home by most votes, and the home's view.
+ * Merges the responses: picks the home that most VMs report, and its view.
  *
  * @example
- * const statuses = resolveStatuses(await readAllGroups(store));
+ * const statuses = mergeGroupStatuses(await readAllGroups(store));
  */
-export function resolveStatuses(
+export function mergeGroupStatuses(
   answers: readonly VmGroups[],
 ): readonly GroupStatus[] {
   const names = answers.flatMap(({answer}) => [
@@ -60,27 +61,27 @@
     ...(answer?.views ?? []).map(({name}) => name),
   ]);
   return [...new Set(names)].toSorted().map(group => {
-    const home = mostNamedHome(group, answers);
-    const holders = answers.flatMap(({vm, answer}) => {
+    const home = mostReportedHome(group, answers);
+    const viewHolders = answers.flatMap(({vm, answer}) => {
       const view = answer?.views.find(({name}) => name === group);
       return view === undefined ? [] : [{id: vm.id, view}];
     });
-    const holder = holders.find(({id}) => id === home) ?? holders[0];
+    const holder = viewHolders.find(({id}) => id === home) ?? viewHolders[0];
     return {group, home, view: holder?.view, seenBy: holder?.id};
   });
 }
 
-/** Writes a group as lines of key=value pairs, one for each database. */
+/** Formats a group as a line of key=value pairs, and one per database. */
 export function formatGroupStatus(status: GroupStatus): readonly string[] {
   const {group, home, view, seenBy} = status;
   const homeText = `group=${group} home=${home ?? 'unknown'}`;
   if (view === undefined) return [`${homeText} view=none`];
-  const seen = seenBy === home ? '' : ` seenBy=${seenBy}`;
-  const head = `${homeText}${seen} term=${view.term} primary=${view.primaryId ?? 'none'}`;
+  const seenByText = seenBy === home ? '' : ` seenBy=${seenBy}`;
+  const head = `${homeText}${seenByText} term=${view.term} primary=${view.primaryId ?? 'none'}`;
   return [head, ...view.databases.map(formatDatabase)];
 }
 
-/** The command. */
+/** The yargs module of `zinnia group status`. */
 export const groupStatusCommand: CommandModule<object, GroupStatusArgs> = {
   command: 'status [group]',
   describe: 'Print the primary, the term and the databases of each group',
@@ -99,14 +100,16 @@
   const answers = await readAllGroups(store);
   const silent = answers.filter(({answer}) => answer === undefined);
   if (silent.length > 0) {
-    output.note(`no answer from ${silent.map(({vm}) => vm.id).join(', ')}`);
+    output.printDiagnostic(
+      `no answer from ${silent.map(({vm}) => vm.id).join(', ')}`,
+    );
   }
   if (silent.length === answers.length) {
     throw new CommandError(
       'no listed VM answers, so nothing is known of the groups; see zinnia vm list',
     );
   }
-  const statuses = resolveStatuses(answers).filter(
+  const statuses = mergeGroupStatuses(answers).filter(
     status => group === undefined || status.group === group,
   );
   if (group !== undefined && statuses.length === 0) {
@@ -118,7 +121,7 @@
   return EXIT.ok;
 }
 
-function mostNamedHome(
+function mostReportedHome(
   group: string,
   answers: readonly VmGroups[],
 ): string | undefined {
@@ -135,12 +138,12 @@
 function formatDatabase(database: ReportedView['databases'][number]): string {
   const {spec, status, reachable, unreachableMs} = database;
   const base = `  database=${spec.id} dataCentre=${spec.dataCentre} provider=${spec.provider}`;
-  const reach = reachable
+  const reachability = reachable
     ? 'reachable=true'
     : `reachable=false unreachableMs=${formatMs(unreachableMs)}`;
-  if (status === undefined) return `${base} role=unknown ${reach}`;
+  if (status === undefined) return `${base} role=unknown ${reachability}`;
   return (
-    `${base} role=${status.role} term=${status.term} fencedTerm=${status.fencedTerm} ${reach} ` +
+    `${base} role=${status.role} term=${status.term} fencedTerm=${status.fencedTerm} ${reachability} ` +
     `received=${formatPosition(status.received)} applied=${formatPosition(status.applied)} ` +
     `silentMs=${formatMs(status.upstreamSilentMs)}`
   );
--- a/src/cli/group-switch.ts
+++ b/src/cli/group-switch.ts
@@ -1,4 +1,4 @@
-/** `zinnia group switch`: orders a planned switch of a group's primary. */
+/** `zinnia group switch`: requests a planned switch of a group's primary. */
 import type {CommandModule} from 'yargs';
 import type {VmRecord} from '../infra/vm-list.js';
 import {CommandError, runCommand, type CommandContext} from './context.js';
@@ -7,9 +7,9 @@
   HttpGroupApi,
   type GroupApi,
   type ReportedSwitch,
-  type SwitchAnswer,
+  type SwitchResponse,
 } from './group-api.js';
-import {readAllGroups, resolveStatuses} from './group-status.js';
+import {readAllGroups, mergeGroupStatuses} from './group-status.js';
 import {withStoreOption, type StoreArgs} from './store-option.js';
 
 interface GroupSwitchArgs extends StoreArgs {
@@ -18,8 +18,9 @@
 }
 
 /**
- * Orders the switch at the group's home if it answers, else at another VM,
- * which passes the order on. It is sent once: a lost answer may hide a switch.
+ * Requests the switch from the group's home if it answers, or else from another
+ * VM, which forwards the request. Never retries: after a lost response the switch
+ * may have happened.
  *
  * @example
  * const answer = await switchGroup(ctx, 'claims', 'claims-2');
@@ -29,9 +30,9 @@
   group: string,
   databaseId: string,
   api: GroupApi = new HttpGroupApi(),
-): Promise<SwitchAnswer> {
+): Promise<SwitchResponse> {
   const answers = await readAllGroups(store, api);
-  const home = resolveStatuses(answers).find(s => s.group === group)?.home;
+  const home = mergeGroupStatuses(answers).find(s => s.group === group)?.home;
   const answering = answers
     .filter(({answer}) => answer !== undefined)
     .map(({vm}) => vm);
@@ -44,7 +45,7 @@
   return api.switchPrimary(vm, group, databaseId);
 }
 
-/** Says what became of a switch. */
+/** Describes the outcome of a switch. */
 export function describeSwitch(
   group: string,
   databaseId: string,
@@ -60,7 +61,7 @@
   }
 }
 
-/** The command. */
+/** The yargs module of `zinnia group switch`. */
 export const groupSwitchCommand: CommandModule<object, GroupSwitchArgs> = {
   command: 'switch <group> <database>',
   describe: 'Make a database the primary of its group',
@@ -78,7 +79,7 @@
   const answer = await switchGroup(ctx, group, database);
   if (answer.kind === 'rejected') throw new CommandError(answer.reason);
   if (answer.kind === 'unknown') {
-    ctx.output.note(
+    ctx.output.printDiagnostic(
       `error: it is not known whether the switch took place (${answer.reason}); ` +
         `look at zinnia group status ${group} before you repeat it`,
     );
@@ -92,9 +93,9 @@
   answering: readonly VmRecord[],
   home: string | undefined,
 ): VmRecord | undefined {
-  const atHome = answering.find(({id}) => id === home);
+  const homeVm = answering.find(({id}) => id === home);
   const live = answering.find(({state}) => state === 'live');
-  return atHome ?? live ?? answering[0];
+  return homeVm ?? live ?? answering[0];
 }
 
 function describeFailover(
--- a/src/cli/group.ts
+++ b/src/cli/group.ts
@@ -1,9 +1,9 @@
-/** `zinnia group`: the commands on database groups. */
+/** `zinnia group`: commands for database groups. */
 import type {CommandModule} from 'yargs';
 import {groupStatusCommand} from './group-status.js';
 import {groupSwitchCommand} from './group-switch.js';
 
-/** The command. */
+/** The yargs module of `zinnia group`. */
 export const groupCommand: CommandModule = {
   command: 'group <command>',
   describe: 'Look at database groups and switch their primaries',
--- a/src/cli/in-force.ts
+++ b/src/cli/in-force.ts
@@ -1,4 +1,4 @@
-/** Waits until a configuration version is in force on every listed VM. */
+/** Polling of VMs until a configuration version is in force on all of them. */
 import type {Clock} from '../infra/clock.js';
 import {StoreError, type Store} from '../infra/store.js';
 import type {VmRecord} from '../infra/vm-list.js';
@@ -11,7 +11,7 @@
 const POLL_INTERVAL_MS = 250;
 const MAX_PARALLEL_PROBES = 50;
 
-/** What to wait for. */
+/** The version to wait for, and how to poll for it. */
 export interface InForceRequest {
   readonly store: Store;
   readonly clock: Clock;
@@ -20,29 +20,29 @@
   readonly probe?: VersionProbe;
 }
 
-/** A VM and the configuration version that it has in force. */
+/** A VM and the configuration version in force on it. */
 export interface VmVersion {
   readonly vm: VmRecord;
-  /** Undefined when it gave no answer. */
+  /** Undefined if the VM did not answer. */
   readonly version: number | undefined;
 }
 
-/** Where a version is in force. */
+/** How far a version's rollout has come. */
 export interface InForceReport {
-  /** VMs in the platform's list; undefined when the list could not be read. */
+  /** Number of listed VMs; undefined if the list could not be read. */
   readonly total: number | undefined;
-  /** VMs that have not shown the version. */
+  /** VMs that have not confirmed the version. */
   readonly lagging: readonly VmVersion[];
 }
 
 /**
- * Polls the VMs that have not confirmed the version yet. The list is read anew
- * in each round, since VMs come and go.
+ * Polls the VMs until all have confirmed the version or the timeout has passed.
+ * Rereads the list of VMs in each round, as VMs come and go.
  *
  * @example
- * const report = await waitInForce({store, clock, version: 42, timeoutMs: 10_000});
+ * const report = await waitUntilInForce({store, clock, version: 42, timeoutMs: 10_000});
  */
-export async function waitInForce(
+export async function waitUntilInForce(
   request: InForceRequest,
 ): Promise<InForceReport> {
   const {store, clock, version, timeoutMs} = request;
@@ -50,25 +50,29 @@
   const deadline = clock.now() + timeoutMs;
   const confirmed = new Set<string>();
   for (;;) {
-    const vms = await readVmListIfUp(store);
+    const vms = await tryReadVmList(store);
     const pending = (vms ?? []).filter(vm => !confirmed.has(vm.id));
     const lagging: VmVersion[] = [];
-    for (const {vm, version: seen} of await probeAll(probe, pending)) {
-      if (seen !== undefined && seen >= version) confirmed.add(vm.id);
-      else lagging.push({vm, version: seen});
+    for (const {vm, version: reportedVersion} of await probeVersions(
+      probe,
+      pending,
+    )) {
+      if (reportedVersion !== undefined && reportedVersion >= version)
+        confirmed.add(vm.id);
+      else lagging.push({vm, version: reportedVersion});
     }
     const report: InForceReport = {total: vms?.length, lagging};
-    if (isInForce(report) || clock.now() >= deadline) return report;
+    if (isInForceEverywhere(report) || clock.now() >= deadline) return report;
     await clock.sleep(POLL_INTERVAL_MS);
   }
 }
 
-/** Whether every listed VM has the version; false when none is listed. */
-export function isInForce({total, lagging}: InForceReport): boolean {
+/** True if every listed VM has the version; false for an empty list. */
+export function isInForceEverywhere({total, lagging}: InForceReport): boolean {
   return total !== undefined && total > 0 && lagging.length === 0;
 }
 
-/** Says where a version is in force, one line for each VM that lags. */
+/** Formats a summary line and one line per lagging VM. */
 export function formatInForce(report: InForceReport): readonly string[] {
   const {total, lagging} = report;
   if (total === undefined) {
@@ -82,8 +86,8 @@
   return [`in force on ${total - lagging.length} of ${total}`, ...lines];
 }
 
-/** Asks several VMs for their versions, a bounded number at the same time. */
-export async function probeAll(
+/** Requests the version of each VM, in batches of bounded size. */
+export async function probeVersions(
   probe: VersionProbe,
   vms: readonly VmRecord[],
 ): Promise<readonly VmVersion[]> {
@@ -99,7 +103,7 @@
   return answers;
 }
 
-async function readVmListIfUp(
+async function tryReadVmList(
   store: Store,
 ): Promise<readonly VmRecord[] | undefined> {
   try {
--- a/src/cli/key-grant.ts
+++ b/src/cli/key-grant.ts
@@ -1,13 +1,13 @@
-/** `zinnia key grant`: makes a key for a team. */
+/** `zinnia key grant`: creates a key for a team. */
 import type {CommandModule} from 'yargs';
 import type {EditResult} from '../rollout/edit-result.js';
 import type {EditIdentity} from '../rollout/editor.js';
 import {createKey, type NewKey} from '../rollout/keys.js';
 import {runCommand, type CommandContext} from './context.js';
-import {createIdentity, finishEdit} from './finish-edit.js';
+import {createEditIdentity, finishEdit} from './finish-edit.js';
 import {withEditOptions, type EditArgs} from './store-option.js';
 
-/** A key, and whether it was granted. */
+/** A new key and the result of granting it. */
 export interface GrantOutcome {
   readonly key: NewKey;
   readonly result: EditResult;
@@ -18,7 +18,8 @@
 }
 
 /**
- * Grants a new key to a team. Its text is in the outcome and nowhere else.
+ * Grants a new key to a team. Only the returned outcome has the key's text; the
+ * store keeps a hash.
  *
  * @example
  * const {key, result} = await grantKey(ctx, 'assessors', identity);
@@ -33,7 +34,7 @@
   return {key, result: await editor.edit(change, identity)};
 }
 
-/** The command. */
+/** The yargs module of `zinnia key grant`. */
 export const keyGrantCommand: CommandModule<object, KeyGrantArgs> = {
   command: 'grant <team>',
   describe: 'Grant a new key to a team and print it once',
@@ -44,11 +45,11 @@
     }),
   handler: args =>
     runCommand(args, async ctx => {
-      const identity = createIdentity({...args, editId: undefined});
+      const identity = createEditIdentity({...args, editId: undefined});
       const {key, result} = await grantKey(ctx, args.team, identity);
       if (result.kind === 'applied') ctx.output.print(key.text);
       if (result.kind === 'unsettled') {
-        ctx.output.note(
+        ctx.output.printDiagnostic(
           `if zinnia key list shows key ${key.record.id}, withdraw it: its text was not handed out`,
         );
       }
--- a/src/cli/key-list.ts
+++ b/src/cli/key-list.ts
@@ -1,4 +1,4 @@
-/** `zinnia key list`: the keys in force. */
+/** `zinnia key list`: lists the keys in force. */
 import type {CommandModule} from 'yargs';
 import type {Store} from '../infra/store.js';
 import {readConfig} from '../rollout/editor.js';
@@ -12,7 +12,7 @@
 }
 
 /**
- * Reads the keys in force, of one team or of all.
+ * Reads the keys in force of one team, or of all teams.
  *
  * @example
  * const keys = await listKeys(store, 'assessors');
@@ -25,7 +25,7 @@
   return document.keys.filter(key => team === undefined || key.team === team);
 }
 
-/** The command. */
+/** The yargs module of `zinnia key list`. */
 export const keyListCommand: CommandModule<object, KeyListArgs> = {
   command: 'list',
   describe: 'List the keys in force, without their secrets',
--- a/src/cli/key-withdraw.ts
+++ b/src/cli/key-withdraw.ts
@@ -1,9 +1,9 @@
-/** `zinnia key withdraw`: ends a key. */
+/** `zinnia key withdraw`: revokes a key. */
 import type {CommandModule} from 'yargs';
 import type {EditResult} from '../rollout/edit-result.js';
 import type {EditIdentity} from '../rollout/editor.js';
 import {runCommand, type CommandContext} from './context.js';
-import {createIdentity, finishEdit} from './finish-edit.js';
+import {createEditIdentity, finishEdit} from './finish-edit.js';
 import {withEditOptions, type EditArgs} from './store-option.js';
 
 interface KeyWithdrawArgs extends EditArgs {
@@ -24,7 +24,7 @@
   return editor.edit({kind: 'withdrawKey', keyId}, identity);
 }
 
-/** The command. */
+/** The yargs module of `zinnia key withdraw`. */
 export const keyWithdrawCommand: CommandModule<object, KeyWithdrawArgs> = {
   command: 'withdraw <id>',
   describe: 'Withdraw a key by its id, the part between zk_ and the next _',
@@ -35,7 +35,7 @@
     }),
   handler: args =>
     runCommand(args, async ctx => {
-      const identity = createIdentity(args);
+      const identity = createEditIdentity(args);
       const result = await withdrawKey(ctx, args.id, identity);
       return finishEdit(ctx, args, result);
     }),
--- a/src/cli/key.ts
+++ b/src/cli/key.ts
@@ -1,10 +1,10 @@
-/** `zinnia key`: the commands on callers' keys. */
+/** `zinnia key`: commands for callers' keys. */
 import type {CommandModule} from 'yargs';
 import {keyGrantCommand} from './key-grant.js';
 import {keyListCommand} from './key-list.js';
 import {keyWithdrawCommand} from './key-withdraw.js';
 
-/** The command. */
+/** The yargs module of `zinnia key`. */
 export const keyCommand: CommandModule = {
   command: 'key <command>',
   describe: "Grant, withdraw and list callers' keys",
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -2,13 +2,13 @@
 /** The `zinnia` command line. */
 import yargs, {type CommandModule} from 'yargs';
 import {hideBin} from 'yargs/helpers';
-import {configurationCommands} from './commands.js';
+import {operatorCommands} from './commands.js';
 import {EXIT} from './exit-codes.js';
 import {nodeCommand} from './node.js';
 
 const commands: readonly CommandModule[] = [
   nodeCommand as CommandModule,
-  ...configurationCommands,
+  ...operatorCommands,
 ];
 
 const cli = yargs(hideBin(process.argv))
@@ -20,7 +20,7 @@
   .completion('completion', 'print a shell completion script')
   .help()
   .fail((message, err, parser) => {
-    // yargs raises its own for an option's value that is refused.
+    // A YError is a usage error, such as a value that an option's coerce rejects.
     if (err && err.name !== 'YError') throw err;
     console.error(`${message}\n`);
     parser.showHelp('error');
--- a/src/cli/node.ts
+++ b/src/cli/node.ts
@@ -12,15 +12,15 @@
 
 type NodeArgs = Readonly<Record<string, unknown>>;
 
-/** The daemon's command. Every flag has a `ZINNIA_*` variable. */
+/** The yargs module of `zinnia node`; each flag has a `ZINNIA_*` variable. */
 export const nodeCommand: CommandModule<object, NodeArgs> = {
   command: 'node',
   describe: 'run a node: entry for callers and home of database groups',
-  builder: yargs => describeFlags(yargs),
+  builder: yargs => addSettingsFlags(yargs),
   handler: args => runNode(args),
 };
 
-function describeFlags(yargs: Argv): Argv<NodeArgs> {
+function addSettingsFlags(yargs: Argv): Argv<NodeArgs> {
   for (const {flag, variable, description, fallback} of describeSettings()) {
     const suffix =
       fallback === undefined ? '' : `, default ${fallback || 'none'}`;
@@ -33,7 +33,7 @@
 }
 
 async function runNode(args: NodeArgs): Promise<void> {
-  const settings = readSettings(args);
+  const settings = tryReadSettings(args);
   if (settings === undefined) return process.exit(EXIT.usage);
   const log = createLogger(settings.logLevel, {vm: settings.vm});
   const node = new Node(settings, log);
@@ -56,7 +56,7 @@
   await node.start();
 }
 
-function readSettings(args: NodeArgs): NodeSettings | undefined {
+function tryReadSettings(args: NodeArgs): NodeSettings | undefined {
   const flags: Record<string, string> = {};
   for (const {flag} of describeSettings()) {
     if (typeof args[flag] === 'string') flags[flag] = args[flag];
--- a/src/cli/platform-vms.ts
+++ b/src/cli/platform-vms.ts
@@ -1,4 +1,4 @@
-/** The platform's list of VMs, and the configuration version of each one. */
+/** Reads the platform's list of VMs and the configuration version of a VM. */
 import * as z from 'zod';
 import type {Store} from '../infra/store.js';
 import {VM_LIST_KEY, type VmRecord} from '../infra/vm-list.js';
@@ -21,13 +21,13 @@
 
 const versionsSchema = z.object({vm: z.string(), config: z.int().min(0)});
 
-/** Asks one VM for the configuration version that it has in force. */
+/** Reads the configuration version in force on a VM. */
 export interface VersionProbe {
-  /** Undefined when the VM gives no answer. */
+  /** Returns undefined if the VM does not answer. */
   readVersion(vm: VmRecord): Promise<number | undefined>;
 }
 
-/** Asks over the VM's admin port. */
+/** {@link VersionProbe} over the VM's admin port. */
 export class HttpVersionProbe implements VersionProbe {
   async readVersion(vm: VmRecord): Promise<number | undefined> {
     const host = vm.host.includes(':') ? `[${vm.host}]` : vm.host;
@@ -36,7 +36,7 @@
         signal: AbortSignal.timeout(PROBE_TIMEOUT_MS),
       });
       const answer = versionsSchema.parse(await res.json());
-      // Another VM may answer at an address that the lagging list still gives.
+      // The list may be out of date and its address in use by another VM.
       return answer.vm === vm.id ? answer.config : undefined;
     } catch {
       return undefined;
--- a/src/cli/report-burn.ts
+++ b/src/cli/report-burn.ts
@@ -1,11 +1,11 @@
-/** `zinnia report burn`: service levels and error-budget burn of all VMs. */
+/** `zinnia report burn`: service levels and error-budget burn over all VMs. */
 import {writeFile} from 'node:fs/promises';
 import type {CommandModule} from 'yargs';
 import {formatBurnHtml} from '../telemetry/burn-html.js';
 import {
   collectBurnReport,
-  highestBurn,
-  windowStart,
+  highestBurnRate,
+  alignedWindowStart,
   type BurnReport,
   type BurnReportInput,
 } from '../telemetry/burn-report.js';
@@ -17,15 +17,15 @@
 import {parseObjective, parseWindows} from './report-options.js';
 import {
   HttpStatementsProbe,
-  readStatements,
+  readAllStatements,
   type StatementsProbe,
 } from './report-statements.js';
 import {withStoreOption, type StoreArgs} from './store-option.js';
 
-const FORMATS = ['table', 'json', 'html'] as const;
+const REPORT_FORMATS = ['table', 'json', 'html'] as const;
 
-/** How the report is written. */
-export type ReportFormat = (typeof FORMATS)[number];
+/** Output format of the report. */
+export type ReportFormat = (typeof REPORT_FORMATS)[number];
 
 interface ReportBurnArgs extends StoreArgs {
   readonly window: string;
@@ -37,7 +37,7 @@
 }
 
 /**
- * Asks every listed VM for its statements and computes the report.
+ * Reads the statement counts of every listed VM and computes the report.
  *
  * @example
  * const report = await reportBurn(ctx, {windows, objective});
@@ -49,19 +49,19 @@
 ): Promise<BurnReport> {
   const now = clock.wallNow();
   const longestMs = Math.max(...options.windows.map(({ms}) => ms));
-  const since = windowStart(now, longestMs);
-  const vms = await readStatements(probe, await readVmList(store), since);
+  const since = alignedWindowStart(now, longestMs);
+  const vms = await readAllStatements(probe, await readVmList(store), since);
   return collectBurnReport({...options, vms, now});
 }
 
-/** Writes a report in one of the formats. */
+/** Formats a report. */
 export function formatReport(report: BurnReport, format: ReportFormat): string {
   if (format === 'html') return formatBurnHtml(report);
   if (format === 'json') return JSON.stringify(report, undefined, 2);
   return formatBurnTable(report);
 }
 
-/** The command. */
+/** The yargs module of `zinnia report burn`. */
 export const reportBurnCommand: CommandModule<object, ReportBurnArgs> = {
   command: 'burn',
   describe: 'Print service levels and error-budget burn per team and route',
@@ -83,7 +83,7 @@
         default: 250,
       })
       .option('format', {
-        choices: FORMATS,
+        choices: REPORT_FORMATS,
         describe: 'how the report is written',
         default: 'table' as const,
       })
@@ -115,24 +115,24 @@
   if (args.output === undefined) output.print(text.trimEnd());
   else await writeFile(args.output, `${text.trimEnd()}\n`);
   if (report.unanswered.length > 0) {
-    output.note(`no answer from ${report.unanswered.join(', ')}`);
+    output.printDiagnostic(`no answer from ${report.unanswered.join(', ')}`);
   }
   if (failAbove === undefined) return EXIT.ok;
-  return checkLimit(ctx, report, failAbove);
+  return checkBurnLimit(ctx, report, failAbove);
 }
 
-function checkLimit(
+function checkBurnLimit(
   {output}: CommandContext,
   report: BurnReport,
   failAbove: number,
 ): ExitCode {
   if (report.answered.length === 0) {
-    output.note('error: no VM answered, so no burn rate is known');
+    output.printDiagnostic('error: no VM answered, so no burn rate is known');
     return EXIT.refused;
   }
-  const highest = highestBurn(report);
+  const highest = highestBurnRate(report);
   if (highest === null || highest <= failAbove) return EXIT.ok;
-  output.note(
+  output.printDiagnostic(
     `error: burn rate ${formatRate(highest)} is above ${failAbove}; the report names the rows`,
   );
   return EXIT.refused;
--- a/src/cli/report-options.ts
+++ b/src/cli/report-options.ts
@@ -1,4 +1,4 @@
-/** Reads the options of `zinnia report burn`. */
+/** Parsing and validation of the options of `zinnia report burn`. */
 import type {BurnWindow} from '../telemetry/burn-report.js';
 import {RETENTION_MS, SLICE_MS} from '../telemetry/metrics.js';
 import type {ServiceObjective} from '../telemetry/service-level.js';
@@ -6,7 +6,8 @@
 import {parseDuration} from './durations.js';
 
 /**
- * Reads windows such as `5m,30m,1h`; throws a {@link CommandError}.
+ * Parses windows such as `5m,30m,1h`; throws a {@link CommandError} for one that
+ * is malformed or out of range.
  *
  * @example
  * parseWindows('5m,1h'); // [{label: '5m', ms: 300_000}, {label: '1h', ...}]
@@ -16,7 +17,7 @@
   return labels.map(label => ({label, ms: parseWindow(label)}));
 }
 
-/** Checks an objective; throws a {@link CommandError}. */
+/** Validates an objective; throws a {@link CommandError} if it is invalid. */
 export function parseObjective(
   availabilityPercent: number,
   latencyMs: number,
--- a/src/cli/report-statements.ts
+++ b/src/cli/report-statements.ts
@@ -1,15 +1,15 @@
-/** Asks the VMs for the statements that they counted. */
+/** Client for the statement counts at the VMs' admin ports. */
 import * as z from 'zod';
 import type {VmRecord} from '../infra/vm-list.js';
 import type {VmStatements} from '../telemetry/burn-report.js';
 import {STATEMENT_KINDS} from '../telemetry/metrics.js';
 
-const ANSWER_TIMEOUT_MS = 3_000;
+const REQUEST_TIMEOUT_MS = 3_000;
 const MAX_PARALLEL_REQUESTS = 50;
 
 const count = z.int().min(0);
 
-const answerSchema = z.object({
+const responseSchema = z.object({
   vm: z.string(),
   slices: z.array(
     z.object({
@@ -26,21 +26,21 @@
   ),
 });
 
-/** Asks one VM for its statements. */
+/** Reads the statement counts of a VM. */
 export interface StatementsProbe {
-  /** The VM's slices from `since` on, or undefined without an answer. */
+  /** Returns the slices from `since` on; undefined if the VM does not answer. */
   read(vm: VmRecord, since: number): Promise<VmStatements['slices']>;
 }
 
-/** Asks over the VM's admin port. */
+/** {@link StatementsProbe} over the VM's admin port. */
 export class HttpStatementsProbe implements StatementsProbe {
   async read(vm: VmRecord, since: number): Promise<VmStatements['slices']> {
     try {
       const res = await fetch(`${adminUrl(vm)}/statements?since=${since}`, {
-        signal: AbortSignal.timeout(ANSWER_TIMEOUT_MS),
+        signal: AbortSignal.timeout(REQUEST_TIMEOUT_MS),
       });
-      const answer = answerSchema.parse(await res.json());
-      // Another VM may answer at an address that the lagging list still gives.
+      const answer = responseSchema.parse(await res.json());
+      // The list may be out of date and its address in use by another VM.
       return answer.vm === vm.id ? answer.slices : undefined;
     } catch {
       return undefined;
@@ -48,13 +48,13 @@
   }
 }
 
-/** The base URL of a VM's admin port. */
+/** Returns the base URL of a VM's admin port. */
 export function adminUrl({host, adminPort}: VmRecord): string {
   return `http://${host.includes(':') ? `[${host}]` : host}:${adminPort}`;
 }
 
-/** Asks several VMs, a bounded number at the same time. */
-export async function readStatements(
+/** Reads the statement counts of each VM, in batches of bounded size. */
+export async function readAllStatements(
   probe: StatementsProbe,
   vms: readonly VmRecord[],
   since: number,
--- a/src/cli/report.ts
+++ b/src/cli/report.ts
@@ -1,8 +1,8 @@
-/** `zinnia report`: the reports on the fleet. */
+/** `zinnia report`: reports over all VMs. */
 import type {CommandModule} from 'yargs';
 import {reportBurnCommand} from './report-burn.js';
 
-/** The command. */
+/** The yargs module of `zinnia report`. */
 export const reportCommand: CommandModule = {
   command: 'report <command>',
   describe: 'Report on the service level',
--- a/src/cli/store-option.ts
+++ b/src/cli/store-option.ts
@@ -1,9 +1,9 @@
-/** The options that the operators' commands share. */
+/** Options that several commands share. */
 import type {Argv} from 'yargs';
 import {parseDuration} from './durations.js';
 
 const DEFAULT_STORE_URL = 'http://127.0.0.1:2379';
-const DEFAULT_WAIT = '10s';
+const DEFAULT_TIMEOUT = '10s';
 
 /** Arguments of a command that reads the store. */
 export interface StoreArgs {
@@ -12,10 +12,12 @@
 
 /** Arguments of a command that edits the configuration. */
 export interface EditArgs extends StoreArgs {
+  /** Who makes the edit; recorded in the history. */
   readonly by: string;
   readonly wait: boolean;
-  /** How long to wait, in milliseconds. */
+  /** Maximum time to wait with `--wait`, in milliseconds. */
   readonly timeout: number;
+  /** Id of an earlier edit to retry, which is applied at most once. */
   readonly editId: string | undefined;
 }
 
@@ -45,7 +47,7 @@
     .option('timeout', {
       type: 'string',
       describe: 'how long to wait, such as 500ms, 10s, 2m or 1h',
-      default: DEFAULT_WAIT,
+      default: DEFAULT_TIMEOUT,
       coerce: parseDuration,
     })
     .option('edit-id', {
--- a/src/cli/table-apply.ts
+++ b/src/cli/table-apply.ts
@@ -1,4 +1,4 @@
-/** `zinnia table apply`: makes the table say what a file says. */
+/** `zinnia table apply`: applies a CSV file to the table. */
 import type {Argv, CommandModule} from 'yargs';
 import {planApply} from '../rollout/apply-plan.js';
 import {applyChange, type RowsChange} from '../rollout/changes.js';
@@ -11,20 +11,20 @@
 import type {Table} from '../rollout/table.js';
 import {runCommand, type CommandContext} from './context.js';
 import {EXIT, type ExitCode} from './exit-codes.js';
-import {createIdentity, finishEdit} from './finish-edit.js';
+import {createEditIdentity, finishEdit} from './finish-edit.js';
 import {withEditOptions, type EditArgs} from './store-option.js';
 import {formatRowEdit} from './table-diff.js';
 import {readTableFile} from './table-file.js';
 
-/** A whole table to put in force. */
+/** A whole table to apply. */
 export interface ApplyRequest {
   readonly table: Table;
-  /** The version that the operator saw; the current one by default. */
+  /** The version that the file was made from; the current one by default. */
   readonly baseVersion: number | undefined;
   readonly dryRun: boolean;
 }
 
-/** The rows that differ, one line each, and what became of them. */
+/** The changed rows, one line each, and the result of the edit. */
 export interface ApplyOutcome {
   readonly diff: readonly string[];
   /** Undefined for a dry run that would be accepted. */
@@ -38,7 +38,8 @@
 }
 
 /**
- * Applies a whole table: rows that the file lacks are removed.
+ * Applies the operator's changes since the base version; rows that the file
+ * lacks are removed. Rows that only others have changed since are kept.
  *
  * @example
  * await applyTable(ctx, {table, baseVersion: 41, dryRun: false}, identity);
@@ -57,22 +58,22 @@
   if (!request.dryRun) {
     return {diff, result: await editor.edit(change, identity)};
   }
-  const trial = applyChange(document, change, baseVersion);
-  switch (trial.kind) {
+  const dryRunResult = applyChange(document, change, baseVersion);
+  switch (dryRunResult.kind) {
     case 'changed':
       return {diff, result: undefined};
     case 'unchanged':
       return {diff, result: {kind: 'unchanged', version: document.version}};
     case 'refused':
-      return {diff, result: {kind: 'refused', reason: trial.message}};
+      return {diff, result: {kind: 'refused', reason: dryRunResult.message}};
     case 'conflict': {
-      const {row, version} = trial;
+      const {row, version} = dryRunResult;
       return {diff, result: createConflict(document, row, version, identity)};
     }
   }
 }
 
-/** The command. */
+/** The yargs module of `zinnia table apply`. */
 export const tableApplyCommand: CommandModule<object, TableApplyArgs> = {
   command: 'apply <file>',
   describe: 'Make the table say what a CSV file says',
@@ -99,13 +100,17 @@
   const {baseVersion, dryRun} = args;
   const table = await readTableFile(args.file);
   if (baseVersion === undefined) {
-    output.note(
+    output.printDiagnostic(
       'warning: without --base-version, edits that others made since you ' +
         'read the table are undone by this file',
     );
   }
   const request = {table, baseVersion, dryRun};
-  const {diff, result} = await applyTable(ctx, request, createIdentity(args));
+  const {diff, result} = await applyTable(
+    ctx,
+    request,
+    createEditIdentity(args),
+  );
   for (const line of diff) output.print(line);
   if (result !== undefined) {
     return finishEdit(ctx, {...args, wait: args.wait && !dryRun}, result);
--- a/src/cli/table-check.ts
+++ b/src/cli/table-check.ts
@@ -1,4 +1,4 @@
-/** `zinnia table check`: checks a file without touching the store. */
+/** `zinnia table check`: validates a CSV file without accessing the store. */
 import type {CommandModule} from 'yargs';
 import {CONSOLE_OUTPUT, reportErrors} from './context.js';
 import {EXIT} from './exit-codes.js';
@@ -9,7 +9,7 @@
 }
 
 /**
- * Checks a CSV file, or throws an error that lists every fault.
+ * Validates a CSV file; throws an error that lists every fault.
  *
  * @example
  * await checkTableFile('table.csv'); // 'table.csv is valid: 3 groups, 8 teams'
@@ -19,7 +19,7 @@
   return `${path} is valid: ${groups.size} groups, ${teams.size} teams`;
 }
 
-/** The command. */
+/** The yargs module of `zinnia table check`. */
 export const tableCheckCommand: CommandModule<object, TableCheckArgs> = {
   command: 'check <file>',
   describe: 'Check a CSV file without applying it',
--- a/src/cli/table-diff.ts
+++ b/src/cli/table-diff.ts
@@ -1,4 +1,4 @@
-/** Shows edits of the table row by row. */
+/** Formatting of table edits as a diff. */
 import {resolveEditRef, type RowEdit} from '../rollout/config-document.js';
 import {CSV_COLUMNS, formatCells} from '../rollout/table-cells.js';
 import {
@@ -9,7 +9,7 @@
 } from '../rollout/table.js';
 
 /**
- * Writes one edit as a line, compared with the current table.
+ * Formats an edit as a diff line against the current table.
  *
  * @example
  * formatRowEdit(table, edit); // '~ group claims: old 100 -> 80, new 0 -> 20'
--- a/src/cli/table-file.ts
+++ b/src/cli/table-file.ts
@@ -1,10 +1,10 @@
-/** Reads the operators' CSV file. */
+/** Reads the table from a CSV file. */
 import {readFile, stat} from 'node:fs/promises';
 import {MAX_FILE_BYTES, parseTableCsv} from '../rollout/table-csv.js';
 import type {Table} from '../rollout/table.js';
 import {CommandError} from './context.js';
 
-/** Reads a table from a file, or throws an error that says what to do. */
+/** Reads and parses a table file; errors say how to fix the input. */
 export async function readTableFile(path: string): Promise<Table> {
   try {
     const {size} = await stat(path);
--- a/src/cli/table-get.ts
+++ b/src/cli/table-get.ts
@@ -1,4 +1,4 @@
-/** `zinnia table get`: the table as CSV. */
+/** `zinnia table get`: prints the table as CSV. */
 import {writeFile} from 'node:fs/promises';
 import type {CommandModule} from 'yargs';
 import type {Store} from '../infra/store.js';
@@ -8,7 +8,7 @@
 import {EXIT, type ExitCode} from './exit-codes.js';
 import {withStoreOption, type StoreArgs} from './store-option.js';
 
-/** The table as a file, and its version. */
+/** The table as CSV, and its version. */
 export interface TableFile {
   readonly csv: string;
   readonly version: number;
@@ -19,7 +19,7 @@
 }
 
 /**
- * Reads the table.
+ * Reads the table in force and formats it as CSV.
  *
  * @example
  * const {csv, version} = await getTable(store);
@@ -29,7 +29,7 @@
   return {csv: formatTableCsv(document.table), version: document.version};
 }
 
-/** The command. */
+/** The yargs module of `zinnia table get`. */
 export const tableGetCommand: CommandModule<object, TableGetArgs> = {
   command: 'get',
   describe: 'Print the table as CSV, and its version on standard error',
@@ -49,6 +49,6 @@
   const {csv, version} = await getTable(store);
   if (args.output === undefined) output.print(csv.trimEnd());
   else await writeFile(args.output, csv);
-  output.note(`version=${version}`);
+  output.printDiagnostic(`version=${version}`);
   return EXIT.ok;
 }
--- a/src/cli/table-history.ts
+++ b/src/cli/table-history.ts
@@ -1,4 +1,4 @@
-/** `zinnia table history`: the latest edits. */
+/** `zinnia table history`: prints the latest edits. */
 import type {CommandModule} from 'yargs';
 import type {Store} from '../infra/store.js';
 import type {EditRecord} from '../rollout/config-document.js';
@@ -14,19 +14,19 @@
   return (await readConfig(store)).document.edits;
 }
 
-/** Writes one edit as a line of key=value pairs. */
+/** Formats an edit as a line of key=value pairs. */
 export function formatEdit(edit: EditRecord): string {
   const at = new Date(edit.at).toISOString();
   const summary = JSON.stringify(edit.summary);
-  return `version=${edit.version} at=${at} by=${formatField(edit.by)} id=${formatField(edit.id)} summary=${summary}`;
+  return `version=${edit.version} at=${at} by=${quoteIfNeeded(edit.by)} id=${quoteIfNeeded(edit.id)} summary=${summary}`;
 }
 
-/** Quotes a value that would not read as one word. */
-function formatField(value: string): string {
+/** Quotes a value unless it is a single plain word. */
+function quoteIfNeeded(value: string): string {
   return /^[\w.@:/#-]+$/.test(value) ? value : JSON.stringify(value);
 }
 
-/** The command. */
+/** The yargs module of `zinnia table history`. */
 export const tableHistoryCommand: CommandModule<object, StoreArgs> = {
   command: 'history',
   describe: 'Print the latest edits, oldest first',
--- a/src/cli/table-set.ts
+++ b/src/cli/table-set.ts
@@ -19,10 +19,10 @@
   type TableRow,
 } from '../rollout/table.js';
 import {CommandError, runCommand, type CommandContext} from './context.js';
-import {createIdentity, finishEdit} from './finish-edit.js';
+import {createEditIdentity, finishEdit} from './finish-edit.js';
 import {withEditOptions, type EditArgs} from './store-option.js';
 
-/** Cells by column; a blank cell asks for the column's default. */
+/** Cells by column; a blank cell resets the column to its default. */
 export type Cells = Readonly<Partial<Record<CsvColumn, string>>>;
 
 interface TableSetArgs extends EditArgs {
@@ -32,7 +32,7 @@
 }
 
 /**
- * Changes some columns of a row, or adds the row.
+ * Changes columns of a row, or adds the row if it does not exist.
  *
  * @example
  * await setRow(ctx, {kind: 'team', name: 'lab'}, {rate: '80'}, identity);
@@ -50,7 +50,7 @@
   return editor.edit({kind: 'rows', edits, baseVersion}, identity);
 }
 
-/** The command. */
+/** The yargs module of `zinnia table set`. */
 export const tableSetCommand: CommandModule<object, TableSetArgs> = {
   command: 'set <kind> <name> <cells..>',
   describe: 'Change columns of one row, or add it',
@@ -71,7 +71,7 @@
     runCommand(args, async ctx => {
       const cells = parseAssignments(args.cells);
       const {kind, name} = args;
-      const identity = createIdentity(args);
+      const identity = createEditIdentity(args);
       const result = await setRow(ctx, {kind, name}, cells, identity);
       return finishEdit(ctx, args, result);
     }),
--- a/src/cli/table.ts
+++ b/src/cli/table.ts
@@ -1,4 +1,4 @@
-/** `zinnia table`: the commands on the operators' table. */
+/** `zinnia table`: commands for the table of teams and database groups. */
 import type {CommandModule} from 'yargs';
 import {tableApplyCommand} from './table-apply.js';
 import {tableCheckCommand} from './table-check.js';
@@ -6,7 +6,7 @@
 import {tableHistoryCommand} from './table-history.js';
 import {tableSetCommand} from './table-set.js';
 
-/** The command. */
+/** The yargs module of `zinnia table`. */
 export const tableCommand: CommandModule = {
   command: 'table <command>',
   describe: 'Read and edit the table of teams and database groups',
--- a/src/cli/vm-list.ts
+++ b/src/cli/vm-list.ts
@@ -1,9 +1,9 @@
-/** `zinnia vm list`: the platform's list, with each VM's version in force. */
+/** `zinnia vm list`: lists the VMs and the configuration version on each. */
 import type {CommandModule} from 'yargs';
 import type {Store} from '../infra/store.js';
 import {runCommand} from './context.js';
 import {EXIT} from './exit-codes.js';
-import {probeAll, type VmVersion} from './in-force.js';
+import {probeVersions, type VmVersion} from './in-force.js';
 import {
   HttpVersionProbe,
   readVmList,
@@ -12,7 +12,7 @@
 import {withStoreOption, type StoreArgs} from './store-option.js';
 
 /**
- * Reads the platform's list and asks each VM for its version.
+ * Reads the platform's list of VMs and the version in force on each.
  *
  * @example
  * const vms = await listVms(store);
@@ -21,10 +21,10 @@
   store: Store,
   probe: VersionProbe = new HttpVersionProbe(),
 ): Promise<readonly VmVersion[]> {
-  return probeAll(probe, await readVmList(store));
+  return probeVersions(probe, await readVmList(store));
 }
 
-/** The command. */
+/** The yargs module of `zinnia vm list`. */
 export const vmListCommand: CommandModule<object, StoreArgs> = {
   command: 'list',
   describe: 'List the VMs, and the configuration version in force on each',
--- a/src/cli/vm.ts
+++ b/src/cli/vm.ts
@@ -1,8 +1,8 @@
-/** `zinnia vm`: the commands on the system's own VMs. */
+/** `zinnia vm`: commands for the VMs that run the proxy. */
 import type {CommandModule} from 'yargs';
 import {vmListCommand} from './vm-list.js';
 
-/** The command. */
+/** The yargs module of `zinnia vm`. */
 export const vmCommand: CommandModule = {
   command: 'vm <command>',
   describe: "Look at the system's own VMs",
--- a/src/explain/log-line.ts
+++ b/src/explain/log-line.ts
@@ -1,18 +1,18 @@
-/** Reads back the lines that nodes write. */
+/** Parser for the log lines of nodes. */
 
 /** One line of a node's log. */
 export interface LogLine {
-  /** Unix milliseconds by the clock of the node that wrote it. */
+  /** Unix time in milliseconds, by the clock of the node that wrote the line. */
   readonly at: number;
   readonly event: string;
   readonly fields: Readonly<Record<string, string>>;
 }
 
-const FIELD = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g;
+const FIELD_PATTERN = /([A-Za-z]\w*)=("(?:[^"\\]|\\.)*"|\S*)/g;
 
 /**
- * Reads a line; undefined if it is not one of a node's. What a collector wrote
- * before the line is passed over.
+ * Parses a line; undefined if no node wrote it. Ignores a prefix added by a log
+ * collector.
  *
  * @example
  * parseLogLine('time=2026-01-03T00:51:18.548Z event=storeLost vm=node-1')?.event;
@@ -21,7 +21,9 @@
   const from = text.indexOf('time=');
   if (from < 0) return undefined;
   const fields: Record<string, string> = {};
-  for (const [, name = '', value = ''] of text.slice(from).matchAll(FIELD)) {
+  for (const [, name = '', value = ''] of text
+    .slice(from)
+    .matchAll(FIELD_PATTERN)) {
     fields[name] = value.startsWith('"') ? unquote(value) : value;
   }
   const at = Date.parse(fields.time ?? '');
@@ -34,7 +36,7 @@
   try {
     return JSON.parse(value) as string;
   } catch {
-    // Cut off by whatever collected it; what is left still tells something.
+    // The log collector truncated the line: keep the remaining text.
     return value.slice(1);
   }
 }
--- a/src/telemetry/bounded-log.ts
+++ b/src/telemetry/bounded-log.ts
@@ -1,36 +1,37 @@
-/** Bounds how many lines of one event are written, whatever the load. */
+/** Rate limit on log lines, so that load cannot flood the log. */
 import {
-  LevelLogger,
-  type LineLevel,
+  BaseLogger,
+  type LogSeverity,
   type LogFields,
   type Logger,
 } from './log.js';
 
-/** Lines of one event a second; the rest is counted and told with the next. */
+/** Lines per event name; the next line written carries the number dropped. */
 const MAX_LINES_PER_SECOND = 20;
 const WINDOW_MS = 1_000;
 
-interface Window {
+interface EventWindow {
   startedAt: number;
   lines: number;
   suppressed: number;
 }
 
 /**
- * Passes lines on up to a rate for each event.
+ * Limits the rate of log lines per event name. Loggers derived by `with` share
+ * the limit.
  *
  * @example
  * const log = new BoundedLogger(createLogger('info'), () => performance.now());
  */
-export class BoundedLogger extends LevelLogger {
+export class BoundedLogger extends BaseLogger {
   readonly #inner: Logger;
   readonly #now: () => number;
-  readonly #windows: Map<string, Window>;
+  readonly #windows: Map<string, EventWindow>;
 
   constructor(
     inner: Logger,
     now: () => number,
-    windows: Map<string, Window> = new Map(),
+    windows: Map<string, EventWindow> = new Map(),
   ) {
     super();
     this.#inner = inner;
@@ -46,7 +47,7 @@
     );
   }
 
-  protected write(level: LineLevel, event: string, fields: LogFields): void {
+  protected write(level: LogSeverity, event: string, fields: LogFields): void {
     const now = this.#now();
     let window = this.#windows.get(event);
     if (window === undefined || now - window.startedAt >= WINDOW_MS) {
--- a/src/telemetry/burn-format.ts
+++ b/src/telemetry/burn-format.ts
@@ -1,9 +1,9 @@
-/** How the figures of the burn report are written. */
+/** Columns and text of the burn report, shared by its table and HTML output. */
 import type {BurnReport, BurnRow} from './burn-report.js';
 
-const NO_FIGURE = '-';
+const NO_VALUE = '-';
 
-/** One figure of the report: its heading, its value, and what it means. */
+/** A column of the report: its heading, its cell text and an explanation. */
 export interface BurnColumn {
   readonly heading: string;
   readonly meaning: string;
@@ -12,7 +12,7 @@
 }
 
 /**
- * The columns of a report, in order.
+ * Returns the columns of a report in display order.
  *
  * @example
  * createBurnColumns(report).map(({heading}) => heading);
@@ -22,60 +22,70 @@
   const longest = windows.at(-1)?.label ?? '';
   const {availabilityPercent, latencyMs} = objective;
   return [
-    text('team', 'whose key came with the statements', row => row.team),
-    text('group', 'the database group that they went to', row => row.group),
-    text(
+    textColumn('team', 'whose key came with the statements', row => row.team),
+    textColumn(
+      'group',
+      'the database group that they went to',
+      row => row.group,
+    ),
+    textColumn(
       'kind',
       'read, write, or transaction: from BEGIN to its end',
       row => row.kind,
     ),
-    figure('statements', `all statements of the last ${longest}`, row =>
+    numberColumn('statements', `all statements of the last ${longest}`, row =>
       String(row.statements),
     ),
-    figure(
+    numberColumn(
       'available',
       'done / (done + may have run + wrongful refusals)',
       row => formatPercent(row.availability),
     ),
-    figure(
+    numberColumn(
       'may have run',
       'statements whose outcome the caller was not told',
       row => String(row.mayHaveRun),
     ),
-    figure('wrongful', "refusals for any reason but the team's rate", row =>
-      String(row.wrongful),
+    numberColumn(
+      'wrongful',
+      "refusals for any reason but the team's rate",
+      row => String(row.wrongful),
     ),
-    figure(
+    numberColumn(
       'over rate',
       'refusals because the team was over its rate; they do not count as unavailable',
       row => String(row.overRate),
     ),
-    figure(
+    numberColumn(
       'p50 ms',
       'half of the statements that reached a target took no longer',
       row => formatMs(row.p50Ms),
     ),
-    figure('p99 ms', '99 of 100 of them took no longer', row =>
+    numberColumn('p99 ms', '99 of 100 of them took no longer', row =>
       formatMs(row.p99Ms),
     ),
-    figure('max ms', 'the slowest of them; latencies are exact to 1%', row =>
-      formatMs(row.maxMs),
+    numberColumn(
+      'max ms',
+      'the slowest of them; latencies are exact to 1%',
+      row => formatMs(row.maxMs),
     ),
-    figure(`<=${latencyMs} ms`, 'share within the latency objective', row =>
-      formatPercent(row.withinLatency),
+    numberColumn(
+      `<=${latencyMs} ms`,
+      'share within the latency objective',
+      row => formatPercent(row.withinLatency),
     ),
     ...windows.map(({label}, i) =>
-      figure(
+      numberColumn(
         `burn ${label}`,
-        `error share of the last ${label} / ${formatAllowed(availabilityPercent)}% allowed; above 1 the budget runs out early`,
+        `error share of the last ${label} / ${formatErrorAllowance(availabilityPercent)}% allowed; above 1 the budget runs out early`,
         row => formatRate(row.burn[i]?.rate ?? null),
       ),
     ),
   ];
 }
 
-/** Says which VMs the figures come from. */
-export function describeVms({answered, unanswered}: BurnReport): string {
+/** Describes how many of the VMs the figures cover, and which are missing. */
+export function describeVmCoverage({answered, unanswered}: BurnReport): string {
   const total = answered.length + unanswered.length;
   if (total === 0) return 'the platform lists no VM';
   const base = `from ${answered.length} of ${total} VMs`;
@@ -83,8 +93,8 @@
   return `${base}; no answer, so missing here: ${unanswered.join(', ')}`;
 }
 
-/** Says for each row that is over budget what its worst rate means. */
-export function describeOverBudget({
+/** Describes each row and window whose burn rate exceeds 1. */
+export function describeOverBudgetRows({
   rows,
   windows,
 }: BurnReport): readonly string[] {
@@ -106,25 +116,25 @@
   );
 }
 
-/** Writes a share as percent. */
+/** Formats a fraction as a percentage. */
 export function formatPercent(share: number | null): string {
-  return share === null ? NO_FIGURE : `${(share * 100).toFixed(3)}%`;
+  return share === null ? NO_VALUE : `${(share * 100).toFixed(3)}%`;
 }
 
-/** Writes a burn rate. */
+/** Formats a burn rate with two decimals. */
 export function formatRate(rate: number | null): string {
-  return rate === null ? NO_FIGURE : rate.toFixed(2);
+  return rate === null ? NO_VALUE : rate.toFixed(2);
 }
 
 function formatMs(ms: number | null): string {
-  return ms === null ? NO_FIGURE : ms.toFixed(1);
+  return ms === null ? NO_VALUE : ms.toFixed(1);
 }
 
-function formatAllowed(availabilityPercent: number): string {
+function formatErrorAllowance(availabilityPercent: number): string {
   return String(Number((100 - availabilityPercent).toFixed(6)));
 }
 
-function text(
+function textColumn(
   heading: string,
   meaning: string,
   format: (row: BurnRow) => string,
@@ -132,7 +142,7 @@
   return {heading, meaning, format, isNumber: false};
 }
 
-function figure(
+function numberColumn(
   heading: string,
   meaning: string,
   format: (row: BurnRow) => string,
--- a/src/telemetry/burn-html.ts
+++ b/src/telemetry/burn-html.ts
@@ -1,8 +1,8 @@
 /** The burn report as one self-contained HTML page. */
 import {
   createBurnColumns,
-  describeOverBudget,
-  describeVms,
+  describeOverBudgetRows,
+  describeVmCoverage,
 } from './burn-format.js';
 import type {BurnReport, TeamPlot} from './burn-report.js';
 import {escapeHtml} from './escape-html.js';
@@ -29,7 +29,7 @@
 `;
 
 /**
- * Writes the report as a page that loads nothing else.
+ * Formats the report as a page without scripts or external resources.
  *
  * @example
  * await writeFile('burn.html', formatBurnHtml(report));
@@ -37,7 +37,7 @@
 export function formatBurnHtml(report: BurnReport): string {
   const {objective, collectedAt, unanswered} = report;
   const at = new Date(collectedAt).toISOString();
-  const vmsClass = unanswered.length > 0 ? ' class="warning"' : '';
+  const coverageClass = unanswered.length > 0 ? ' class="warning"' : '';
   return [
     '<!doctype html>',
     '<html lang="en">',
@@ -50,11 +50,11 @@
     '<body>',
     '<h1>Service-level burn</h1>',
     `<p>At ${escapeHtml(at)}. Objective: ${objective.availabilityPercent}% available, ${objective.latencyMs} ms.</p>`,
-    `<p${vmsClass}>${escapeHtml(describeVms(report))}</p>`,
+    `<p${coverageClass}>${escapeHtml(describeVmCoverage(report))}</p>`,
     ...formatOverBudget(report),
     ...formatTable(report),
     ...report.plots.flatMap(plot => formatPlots(report, plot)),
-    ...formatMeanings(report),
+    ...formatColumnMeanings(report),
     '</body>',
     '</html>',
     '',
@@ -62,27 +62,27 @@
 }
 
 function formatOverBudget(report: BurnReport): readonly string[] {
-  const over = describeOverBudget(report);
-  if (over.length === 0) return ['<p>No row is over budget.</p>'];
-  const items = over.map(line => `<li>${escapeHtml(line)}</li>`);
+  const overBudget = describeOverBudgetRows(report);
+  if (overBudget.length === 0) return ['<p>No row is over budget.</p>'];
+  const items = overBudget.map(line => `<li>${escapeHtml(line)}</li>`);
   return ['<h2>Over budget</h2>', '<ul class="warning">', ...items, '</ul>'];
 }
 
 function formatTable(report: BurnReport): readonly string[] {
   if (report.rows.length === 0) return ['<p>No statements.</p>'];
   const columns = createBurnColumns(report);
-  const tagOf = (tag: string, isNumber: boolean, text: string) =>
+  const renderCell = (tag: string, isNumber: boolean, text: string) =>
     `<${tag}${isNumber ? ' class="number"' : ''}>${escapeHtml(text)}</${tag}>`;
-  const heads = columns.map(c => tagOf('th', c.isNumber, c.heading));
+  const headings = columns.map(c => renderCell('th', c.isNumber, c.heading));
   const rows = report.rows.map(row => {
-    const cells = columns.map(c => tagOf('td', c.isNumber, c.format(row)));
+    const cells = columns.map(c => renderCell('td', c.isNumber, c.format(row)));
     return `<tr>${cells.join('')}</tr>`;
   });
   return [
     '<h2>Teams and routes</h2>',
     '<div class="scroll">',
     '<table>',
-    `<thead><tr>${heads.join('')}</tr></thead>`,
+    `<thead><tr>${headings.join('')}</tr></thead>`,
     '<tbody>',
     ...rows,
     '</tbody>',
@@ -95,8 +95,8 @@
   {objective, collectedAt}: BurnReport,
   {team, points}: TeamPlot,
 ): readonly string[] {
-  const from = clockTime(points[0]?.startedAt ?? collectedAt);
-  const to = `${clockTime(collectedAt)} UTC`;
+  const from = formatTimeOfDay(points[0]?.startedAt ?? collectedAt);
+  const to = `${formatTimeOfDay(collectedAt)} UTC`;
   const burn = drawLinePlot({
     title: `burn rate of ${team}`,
     lines: [
@@ -127,7 +127,7 @@
   ];
 }
 
-function formatMeanings(report: BurnReport): readonly string[] {
+function formatColumnMeanings(report: BurnReport): readonly string[] {
   const items = createBurnColumns(report).map(
     ({heading, meaning}) =>
       `<dt>${escapeHtml(heading)}</dt><dd>${escapeHtml(meaning)}</dd>`,
@@ -135,6 +135,6 @@
   return ['<h2>What the figures mean</h2>', '<dl>', ...items, '</dl>'];
 }
 
-function clockTime(at: number): string {
+function formatTimeOfDay(at: number): string {
   return new Date(at).toISOString().slice(11, 16);
 }
--- a/src/telemetry/burn-report.ts
+++ b/src/telemetry/burn-report.ts
@@ -1,36 +1,36 @@
-/** The burn report: service levels per team and route, of all VMs together. */
+/** Burn report: service levels and error-budget burn per team, group and kind. */
 import {SLICE_MS, type SeriesKey} from './metrics.js';
 import {
   decodeSlice,
   SeriesTotals,
   type DecodedSlice,
-  type LatencyLevel,
+  type LatencySummary,
   type ReportedSlice,
 } from './series-totals.js';
 import {
   availabilityOf,
   burnRateOf,
-  describeBurn,
+  describeBurnRate,
   type ServiceObjective,
   type StatementCounts,
 } from './service-level.js';
 
 const MAX_PLOT_POINTS = 60;
 
-/** A span of time up to now. */
+/** A time window that ends now. */
 export interface BurnWindow {
   /** As the operator wrote it, such as `5m`. */
   readonly label: string;
   readonly ms: number;
 }
 
-/** What one VM reported; `slices` is undefined if it gave no answer. */
+/** Statement counts of one VM; `slices` is undefined if it did not answer. */
 export interface VmStatements {
   readonly vm: string;
   readonly slices: readonly ReportedSlice[] | undefined;
 }
 
-/** What a report is computed from. */
+/** Input of {@link collectBurnReport}. */
 export interface BurnReportInput {
   readonly vms: readonly VmStatements[];
   /** Milliseconds since the Unix epoch. */
@@ -39,16 +39,19 @@
   readonly objective: ServiceObjective;
 }
 
-/** How fast one window's errors spend the budget. */
+/** Rate at which errors consume the error budget in one window. */
 export interface WindowBurn {
   readonly window: string;
   readonly rate: number | null;
   readonly meaning: string;
 }
 
-/** The service level of one team on one route, over the longest window. */
-export interface BurnRow extends SeriesKey, StatementCounts, LatencyLevel {
-  /** Every statement, the ones over the rate too. */
+/**
+ * Service level of one team's statements of one kind in one group, over the
+ * longest window.
+ */
+export interface BurnRow extends SeriesKey, StatementCounts, LatencySummary {
+  /** All statements, including those refused by the team's rate limit. */
   readonly statements: number;
   readonly atReplicas: number;
   readonly refused: Readonly<Record<string, number>>;
@@ -57,7 +60,7 @@
   readonly burn: readonly WindowBurn[];
 }
 
-/** A team's service level in one step of time; null where nothing ran. */
+/** A team's service level in one time step; null without statements. */
 export interface PlotPoint {
   readonly startedAt: number;
   readonly burn: number | null;
@@ -71,20 +74,20 @@
   readonly points: readonly PlotPoint[];
 }
 
-/** The whole report, as plain data. */
+/** The report as plain data; also its JSON output. */
 export interface BurnReport {
   readonly collectedAt: number;
   readonly objective: ServiceObjective;
   readonly windows: readonly BurnWindow[];
   readonly answered: readonly string[];
-  /** VMs without an answer; their statements are missing in every figure. */
+  /** VMs that did not answer; no figure includes their statements. */
   readonly unanswered: readonly string[];
   readonly rows: readonly BurnRow[];
   readonly plots: readonly TeamPlot[];
 }
 
 /**
- * Merges what the VMs reported and computes the service levels.
+ * Merges the statement counts of all VMs and computes the service levels.
  *
  * @example
  * const report = collectBurnReport({
@@ -99,9 +102,9 @@
   const windows = input.windows.toSorted((a, b) => a.ms - b.ms);
   const answers = input.vms.map(({vm, slices}) => ({
     vm,
-    slices: slices && tryDecode(slices),
+    slices: slices && tryDecodeSlices(slices),
   }));
-  const startedAt = windowStart(now, windows.at(-1)?.ms ?? 0);
+  const startedAt = alignedWindowStart(now, windows.at(-1)?.ms ?? 0);
   const slices = answers
     .flatMap(answer => answer.slices ?? [])
     .filter(slice => slice.startedAt >= startedAt);
@@ -109,33 +112,37 @@
     collectedAt: now,
     objective,
     windows,
-    answered: idsOf(answers.filter(answer => answer.slices !== undefined)),
-    unanswered: idsOf(answers.filter(answer => answer.slices === undefined)),
-    rows: groupBy(slices, seriesName).map(([, series]) =>
+    answered: sortedVmIds(
+      answers.filter(answer => answer.slices !== undefined),
+    ),
+    unanswered: sortedVmIds(
+      answers.filter(answer => answer.slices === undefined),
+    ),
+    rows: groupBy(slices, formatSeriesKey).map(([, series]) =>
       createRow(series, {now, objective, windows}),
     ),
-    plots: groupBy(slices, ({team}) => team).map(([team, own]) => ({
+    plots: groupBy(slices, ({team}) => team).map(([team, teamSlices]) => ({
       team,
-      points: createPoints(own, {startedAt, now, objective}),
+      points: createPlotPoints(teamSlices, {startedAt, now, objective}),
     })),
   };
 }
 
-/** Where a window begins: it takes in the whole slice that it begins in. */
-export function windowStart(now: number, windowMs: number): number {
+/** Start of a window, rounded down to the start of its first slice. */
+export function alignedWindowStart(now: number, windowMs: number): number {
   return Math.floor((now - windowMs) / SLICE_MS) * SLICE_MS;
 }
 
-/** The highest burn rate of any row and window; null if there is none. */
-export function highestBurn({rows}: BurnReport): number | null {
+/** Highest burn rate over all rows and windows; null if there is none. */
+export function highestBurnRate({rows}: BurnReport): number | null {
   const rates = rows
     .flatMap(({burn}) => burn.map(({rate}) => rate))
     .filter(rate => rate !== null);
   return rates.length === 0 ? null : Math.max(...rates);
 }
 
-/** A VM whose histograms can't be read counts as one without an answer. */
-function tryDecode(
+/** Returns undefined for a damaged histogram: the VM counts as unanswered. */
+function tryDecodeSlices(
   slices: readonly ReportedSlice[],
 ): readonly DecodedSlice[] | undefined {
   try {
@@ -151,13 +158,13 @@
 ): BurnRow {
   const {now, objective, windows} = input;
   const [{team, group, kind}] = slices as [DecodedSlice];
-  const totals = sum(slices);
+  const totals = sumSlices(slices);
   const {counts, atReplicas, refused} = totals;
   const burn = windows.map(({label, ms}) => {
-    const since = windowStart(now, ms);
+    const since = alignedWindowStart(now, ms);
     const recent = slices.filter(slice => slice.startedAt >= since);
-    const rate = burnRateOf(sum(recent).counts, objective);
-    return {window: label, rate, meaning: describeBurn(rate)};
+    const rate = burnRateOf(sumSlices(recent).counts, objective);
+    return {window: label, rate, meaning: describeBurnRate(rate)};
   });
   return {
     team,
@@ -169,12 +176,12 @@
     refused,
     availability: availabilityOf(counts),
     ...totals.latency(),
-    withinLatency: totals.shareWithin(objective.latencyMs),
+    withinLatency: totals.fractionWithin(objective.latencyMs),
     burn,
   };
 }
 
-function createPoints(
+function createPlotPoints(
   slices: readonly DecodedSlice[],
   span: {
     readonly startedAt: number;
@@ -183,11 +190,11 @@
   },
 ): readonly PlotPoint[] {
   const {startedAt, now, objective} = span;
-  const wantedMs = (now - startedAt) / MAX_PLOT_POINTS;
-  const stepMs = Math.max(1, Math.ceil(wantedMs / SLICE_MS)) * SLICE_MS;
+  const minStepMs = (now - startedAt) / MAX_PLOT_POINTS;
+  const stepMs = Math.max(1, Math.ceil(minStepMs / SLICE_MS)) * SLICE_MS;
   const points: PlotPoint[] = [];
   for (let from = startedAt; from < now; from += stepMs) {
-    const totals = sum(
+    const totals = sumSlices(
       slices.filter(s => s.startedAt >= from && s.startedAt < from + stepMs),
     );
     const {p50Ms, p99Ms} = totals.latency();
@@ -197,24 +204,24 @@
   return points;
 }
 
-function sum(slices: readonly DecodedSlice[]): SeriesTotals {
+function sumSlices(slices: readonly DecodedSlice[]): SeriesTotals {
   const totals = new SeriesTotals();
   for (const slice of slices) totals.add(slice);
   return totals;
 }
 
-function seriesName({team, group, kind}: SeriesKey): string {
+function formatSeriesKey({team, group, kind}: SeriesKey): string {
   return `${team}\n${group}\n${kind}`;
 }
 
-/** Groups slices by a name, in the order of the names. */
+/** Groups slices by key, sorted by key. */
 function groupBy(
   slices: readonly DecodedSlice[],
-  nameOf: (slice: DecodedSlice) => string,
+  keyOf: (slice: DecodedSlice) => string,
 ): readonly (readonly [string, readonly DecodedSlice[]])[] {
   const groups = new Map<string, DecodedSlice[]>();
   for (const slice of slices) {
-    const name = nameOf(slice);
+    const name = keyOf(slice);
     const group = groups.get(name);
     if (group === undefined) groups.set(name, [slice]);
     else group.push(slice);
@@ -222,6 +229,6 @@
   return [...groups].toSorted(([a], [b]) => (a < b ? -1 : 1));
 }
 
-function idsOf(vms: readonly {readonly vm: string}[]): readonly string[] {
+function sortedVmIds(vms: readonly {readonly vm: string}[]): readonly string[] {
   return vms.map(({vm}) => vm).toSorted();
 }
--- a/src/telemetry/burn-table.ts
+++ b/src/telemetry/burn-table.ts
@@ -1,15 +1,15 @@
-/** The burn report as plain text. */
+/** The burn report as a plain-text table. */
 import {
   createBurnColumns,
-  describeOverBudget,
-  describeVms,
+  describeOverBudgetRows,
+  describeVmCoverage,
 } from './burn-format.js';
 import type {BurnReport} from './burn-report.js';
 
 const COLUMN_GAP = '  ';
 
 /**
- * Writes the report as an aligned table, with what each figure means below.
+ * Formats the report as an aligned table, followed by a legend of its columns.
  *
  * @example
  * console.log(formatBurnTable(report));
@@ -32,15 +32,15 @@
       .join(COLUMN_GAP)
       .trimEnd(),
   );
-  const over = describeOverBudget(report);
+  const overBudget = describeOverBudgetRows(report);
   return [
-    `service level at ${new Date(report.collectedAt).toISOString()}, ${describeVms(report)}`,
+    `service level at ${new Date(report.collectedAt).toISOString()}, ${describeVmCoverage(report)}`,
     `objective: ${report.objective.availabilityPercent}% available, ${report.objective.latencyMs} ms`,
     '',
     ...lines,
     ...(report.rows.length === 0 ? ['no statements in these windows'] : []),
     '',
-    ...(over.length === 0 ? ['no row is over budget'] : over),
+    ...(overBudget.length === 0 ? ['no row is over budget'] : overBudget),
     '',
     ...columns.map(({heading, meaning}) => `${heading}: ${meaning}`),
   ].join('\n');
--- a/src/telemetry/escape-html.ts
+++ b/src/telemetry/escape-html.ts
@@ -1,4 +1,4 @@
-/** Escapes text for HTML and SVG. */
+/** Escaping of text for HTML and SVG. */
 
 const ENTITIES: Readonly<Record<string, string>> = {
   '&': '&amp;',
@@ -9,7 +9,7 @@
 };
 
 /**
- * Escapes text so that it is safe as content and in quoted attributes.
+ * Escapes text for use as element content or in a quoted attribute.
  *
  * @example
  * escapeHtml('<b>') === '&lt;b&gt;';
--- a/src/telemetry/log.ts
+++ b/src/telemetry/log.ts
@@ -1,23 +1,23 @@
-/** Structured logs: one key=value line an event. */
+/** Structured logging: one line of key=value pairs per event. */
 import {createConsola, type LogObject} from 'consola/core';
 
-/** A value that a log line can carry. */
+/** Value of a log field; undefined omits the field. */
 export type LogValue = string | number | boolean | undefined;
 
-/** The fields of one event. */
+/** Fields of one log line. */
 export type LogFields = Readonly<Record<string, LogValue>>;
 
-/** Writes events; `event` is a short lower-camel-case name. */
+/** Logs events; `event` is a short lower-camel-case name. */
 export interface Logger {
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
   error(event: string, fields?: LogFields): void;
   debug(event: string, fields?: LogFields): void;
-  /** A logger that adds `fields` to every line. */
+  /** Returns a logger that adds `fields` to every line. */
   with(fields: LogFields): Logger;
 }
 
-/** How much is written. */
+/** Lowest severity that is written. */
 export type LogLevel = 'silent' | 'error' | 'warn' | 'info' | 'debug';
 
 const CONSOLA_LEVELS: Readonly<Record<LogLevel, number>> = {
@@ -29,7 +29,8 @@
 };
 
 /**
- * Writes fields as `key=value`, quoting values with spaces, quotes or `=`.
+ * Formats fields as `key=value`, quoting empty values and values with spaces,
+ * quotes or `=`.
  *
  * @example
  * formatFields({event: 'listening', port: 5432}) === 'event=listening port=5432';
@@ -46,11 +47,11 @@
   return /^[^\s"=]+$/.test(text) ? text : JSON.stringify(text);
 }
 
-/** A level at which a line is written. */
-export type LineLevel = 'info' | 'warn' | 'error' | 'debug';
+/** Severity of a log line. */
+export type LogSeverity = 'info' | 'warn' | 'error' | 'debug';
 
-/** Writes every level in one way. */
-export abstract class LevelLogger implements Logger {
+/** Implements the method of each severity by a single `write`. */
+export abstract class BaseLogger implements Logger {
   info(event: string, fields: LogFields = {}): void {
     this.write('info', event, fields);
   }
@@ -70,13 +71,13 @@
   abstract with(fields: LogFields): Logger;
 
   protected abstract write(
-    level: LineLevel,
+    level: LogSeverity,
     event: string,
     fields: LogFields,
   ): void;
 }
 
-class ConsolaLogger extends LevelLogger {
+class ConsolaLogger extends BaseLogger {
   readonly #consola: ReturnType<typeof createConsola>;
   readonly #fields: LogFields;
 
@@ -90,8 +91,8 @@
     return new ConsolaLogger(this.#consola, {...this.#fields, ...fields});
   }
 
-  /** Wrapped: consola takes an object with `message` for one of its own. */
-  protected write(level: LineLevel, event: string, fields: LogFields): void {
+  /** Uses `args`: consola takes an object with `message` for its own log entry. */
+  protected write(level: LogSeverity, event: string, fields: LogFields): void {
     this.#consola[level]({args: [{event, ...this.#fields, ...fields}]});
   }
 }
--- a/src/telemetry/metrics.ts
+++ b/src/telemetry/metrics.ts
@@ -1,4 +1,4 @@
-/** Counts and latencies of statements, in slices of time. */
+/** Statement counts and latency histograms of a node, in 10 s time slices. */
 import {
   build,
   encodeIntoCompressedBase64,
@@ -7,14 +7,14 @@
 import type {Clock} from '../infra/clock.js';
 import type {RefusalReason, Verdict} from '../verdict/verdict.js';
 
-/** Length of one slice. */
+/** Length of one time slice. */
 export const SLICE_MS = 10_000;
-/** Slices kept: the longest window of the burn report is one hour. */
+/** One hour of slices, the longest window of the burn report. */
 const MAX_SLICES = 360;
-/** How far back a node's slices reach. */
+/** Time span that a node's slices cover. */
 export const RETENTION_MS = SLICE_MS * MAX_SLICES;
-/** Histograms hold microseconds up to one minute, to two digits. */
-const HISTOGRAM = {
+/** Latencies in microseconds, up to one minute, with two significant digits. */
+const HISTOGRAM_OPTIONS = {
   bitBucketSize: 32 as const,
   autoResize: true,
   lowestDiscernibleValue: 1,
@@ -22,40 +22,40 @@
   numberOfSignificantValueDigits: 2 as const,
 };
 
-/** A statement of a transaction that the caller opened is neither other kind. */
+/** `transaction` covers every statement of a transaction opened by its caller. */
 export const STATEMENT_KINDS = ['read', 'write', 'transaction'] as const;
 
 /** One of {@link STATEMENT_KINDS}. */
 export type StatementKind = (typeof STATEMENT_KINDS)[number];
 
-/** What a series of statements has in common. */
+/** Identifies a series of statement counts. */
 export interface SeriesKey {
   readonly team: string;
   readonly group: string;
   readonly kind: StatementKind;
 }
 
-/** One or more statements that a caller sent together and that ended. */
+/** Outcome of one or more statements that a caller sent as one batch. */
 export interface StatementSample extends SeriesKey {
-  /** How many statements; at least 1. */
+  /** Number of statements in the batch; at least 1. */
   readonly statements: number;
   readonly verdict: Verdict;
-  /** From the arrival to the last answer frame, for each of them. */
+  /** Time from arrival to the last response frame; counts for each statement. */
   readonly elapsedMs: number;
   readonly servedBy: 'primary' | 'replica' | undefined;
 }
 
-/** The statements of one series in one slice, as plain data. */
+/** Counts and latencies of one series in one time slice, as plain data. */
 export interface SliceCounts {
   readonly done: number;
   readonly mayHaveRun: number;
   readonly refused: Readonly<Partial<Record<RefusalReason, number>>>;
   readonly atReplicas: number;
-  /** Compressed hdr histogram of microseconds, base64. */
+  /** HDR histogram of latencies in microseconds, compressed and in base64. */
   readonly latency: string;
 }
 
-/** One slice of one series. */
+/** One time slice of one series. */
 export interface SeriesSlice extends SeriesKey, SliceCounts {
   /** Milliseconds since the Unix epoch, a multiple of {@link SLICE_MS}. */
   readonly startedAt: number;
@@ -74,7 +74,7 @@
   readonly series: Map<string, {key: SeriesKey; counters: Counters}>;
 }
 
-/** Collects the statements of one node. */
+/** Collects the statement counts and latencies of one node. */
 export class StatementMetrics {
   readonly #clock: Clock;
   readonly #slices: Slice[] = [];
@@ -83,7 +83,7 @@
     this.#clock = clock;
   }
 
-  /** Counts finished statements; what its caller took back is none. */
+  /** Records finished statements, except those that their caller cancelled. */
   observe(sample: StatementSample): void {
     const {verdict, statements} = sample;
     if (verdict.kind === 'notRun' && verdict.reason === 'cancelled') return;
@@ -100,7 +100,7 @@
     counters.latency.recordValueWithCount(micros, statements);
   }
 
-  /** Every slice that began at `since` or later. */
+  /** Returns the slices that start at `since` or later. */
   slices(since: number): readonly SeriesSlice[] {
     return this.#slices
       .filter(({startedAt}) => startedAt >= since)
@@ -127,7 +127,7 @@
       mayHaveRun: 0,
       refused: {},
       atReplicas: 0,
-      latency: build(HISTOGRAM),
+      latency: build(HISTOGRAM_OPTIONS),
     };
     series.set(name, {key: {team, group, kind}, counters});
     return counters;
--- a/src/telemetry/node-metrics.ts
+++ b/src/telemetry/node-metrics.ts
@@ -1,34 +1,36 @@
-/** Counters and latency histograms of a node, as Prometheus text. */
+/** A node's metrics in the Prometheus text format. */
 import {createServer, type Server} from 'node:http';
 import {Counter, Gauge, Histogram, Registry} from 'prom-client';
 
-/** Upper bounds in seconds, around the response times that routes aim at. */
+/** Bucket bounds around the target response times of the routes. */
 const LATENCY_BUCKETS_S = [
   0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5,
 ];
-const PATH = '/metrics';
+const METRICS_PATH = '/metrics';
 
-/** One statement that ended. */
+/** A finished statement. */
 export interface StatementEnd {
   readonly group: string;
   readonly kind: 'read' | 'write';
-  /** `done`, the reason of a refusal, or the database's error. */
+  /** `done`, the reason of any other verdict, or the database's error code. */
   readonly outcome: string;
   readonly elapsedMs: number;
 }
 
-/** What a node says of itself when it is asked. */
+/** Callbacks that read a node's gauges when metrics are scraped. */
 export interface NodeGauges {
   readonly sessions: () => number;
-  /** Age of the proof that the configuration is the newest. */
+  /** Time since the configuration was last proven to be the newest. */
   readonly catalogAgeMs: () => number;
   readonly catalogVersion: () => number;
   readonly members: () => number;
-  /** Statements and open transactions at the homes here. */
+  /** Statements and open transactions at the homes that this node runs. */
   readonly homeActive: () => number;
 }
 
 /**
+ * Prometheus metrics of one node.
+ *
  * @example
  * const metrics = new NodeMetrics();
  * metrics.observe({group: 'claims', kind: 'read', outcome: 'done', elapsedMs: 7});
@@ -55,13 +57,13 @@
     });
   }
 
-  /** Counts one statement; its time only if a database answered it. */
+  /** Counts a statement; records its latency only if its outcome is `done`. */
   observe({group, kind, outcome, elapsedMs}: StatementEnd): void {
     this.#statements.inc({group, kind, outcome});
     if (outcome === 'done') this.#latency.observe({kind}, elapsedMs / 1_000);
   }
 
-  /** Adds what is read at the time of a question. */
+  /** Registers the gauges, which are read at each scrape. */
   expose(gauges: NodeGauges): void {
     const add = (name: string, help: string, read: () => number) =>
       new Gauge({
@@ -91,10 +93,10 @@
     );
   }
 
-  /** Serves the text; rejects where the port can't be had. */
+  /** Serves the metrics over HTTP; rejects if the port can't be bound. */
   listen(host: string, port: number): Promise<Server> {
     const server = createServer((req, res) => {
-      if (req.method !== 'GET' || req.url !== PATH) {
+      if (req.method !== 'GET' || req.url !== METRICS_PATH) {
         res.statusCode = 404;
         res.end();
         return;
--- a/src/telemetry/series-totals.ts
+++ b/src/telemetry/series-totals.ts
@@ -1,4 +1,4 @@
-/** Adds up slices of statements: counts, and latencies as one histogram. */
+/** Totals over time slices: summed counts and a merged latency histogram. */
 import {
   build,
   decodeFromCompressedBase64,
@@ -8,40 +8,43 @@
 import type {SeriesKey} from './metrics.js';
 import type {StatementCounts} from './service-level.js';
 
-const MICROS_A_MS = 1_000;
-const OVER_RATE_REASON = 'rateLimited';
+const MICROS_PER_MS = 1_000;
+const RATE_LIMITED_REASON = 'rateLimited';
 
-/** One slice of one series as a node reports it, which may know more reasons. */
+/**
+ * A time slice of one series as a node reports it. A node of another version may
+ * report refusal reasons that are unknown here.
+ */
 export interface ReportedSlice extends SeriesKey {
   readonly startedAt: number;
   readonly done: number;
   readonly mayHaveRun: number;
   readonly refused: Readonly<Record<string, number | undefined>>;
   readonly atReplicas: number;
-  /** Compressed hdr histogram of microseconds, base64. */
+  /** HDR histogram of latencies in microseconds, compressed and in base64. */
   readonly latency: string;
 }
 
-/** A slice whose histogram was read. */
+/** A slice with its decoded histogram. */
 export interface DecodedSlice extends ReportedSlice {
   readonly histogram: Histogram;
 }
 
-/** Latencies of the statements that reached a target; null if none did. */
-export interface LatencyLevel {
+/** Latencies of statements that reached a target; null if none did. */
+export interface LatencySummary {
   readonly p50Ms: number | null;
   readonly p99Ms: number | null;
   readonly maxMs: number | null;
 }
 
-/** Reads a slice's histogram; throws if it is damaged. */
+/** Decodes a slice's histogram; throws if it is damaged. */
 export function decodeSlice(slice: ReportedSlice): DecodedSlice {
   const histogram = decodeFromCompressedBase64(slice.latency, 32, false);
   return {...slice, histogram};
 }
 
 /**
- * The sum of several slices.
+ * Accumulates slices into totals.
  *
  * @example
  * const totals = new SeriesTotals();
@@ -71,7 +74,7 @@
   }
 
   get counts(): StatementCounts {
-    const overRate = this.#refused.get(OVER_RATE_REASON) ?? 0;
+    const overRate = this.#refused.get(RATE_LIMITED_REASON) ?? 0;
     const refused = [...this.#refused.values()].reduce((a, b) => a + b, 0);
     return {
       done: this.#done,
@@ -81,37 +84,37 @@
     };
   }
 
-  /** Statements that a replica served. */
+  /** Number of statements that replicas served. */
   get atReplicas(): number {
     return this.#atReplicas;
   }
 
-  /** Refusals by reason, by name. */
+  /** Refusal counts by reason, sorted by reason. */
   get refused(): Readonly<Record<string, number>> {
     return Object.fromEntries(
       [...this.#refused].toSorted(([a], [b]) => (a < b ? -1 : 1)),
     );
   }
 
-  latency(): LatencyLevel {
+  latency(): LatencySummary {
     const histogram = this.#histogram;
     if (histogram.totalCount === 0) {
       return {p50Ms: null, p99Ms: null, maxMs: null};
     }
-    // Percentiles are the upper ends of buckets, so the maximum is one too.
+    // Percentiles are upper bounds of buckets, so the maximum must be one too.
     const highestMicros = histogram.highestEquivalentValue(histogram.maxValue);
     return {
-      p50Ms: histogram.getValueAtPercentile(50) / MICROS_A_MS,
-      p99Ms: histogram.getValueAtPercentile(99) / MICROS_A_MS,
-      maxMs: highestMicros / MICROS_A_MS,
+      p50Ms: histogram.getValueAtPercentile(50) / MICROS_PER_MS,
+      p99Ms: histogram.getValueAtPercentile(99) / MICROS_PER_MS,
+      maxMs: highestMicros / MICROS_PER_MS,
     };
   }
 
-  /** The share of latencies up to `limitMs`, to the histogram's precision. */
-  shareWithin(limitMs: number): number | null {
+  /** Fraction of latencies up to `limitMs`, to the histogram's precision. */
+  fractionWithin(limitMs: number): number | null {
     const histogram = this.#histogram;
     if (histogram.totalCount === 0) return null;
-    const limitMicros = Math.round(limitMs * MICROS_A_MS);
+    const limitMicros = Math.round(limitMs * MICROS_PER_MS);
     if (limitMicros >= histogram.maxValue) return 1;
     const last = histogram.countsArrayIndex(limitMicros);
     let within = 0;
--- a/src/telemetry/service-level.ts
+++ b/src/telemetry/service-level.ts
@@ -1,15 +1,15 @@
-/** Service-level objectives, and how fast errors spend their budget. */
+/** Service-level objectives, availability and error-budget burn rates. */
 
-/** The period that an error budget is stated for. */
+/** Period of the error budget. */
 const BUDGET_PERIOD_DAYS = 30;
-const HOURS_A_DAY = 24;
-const MINUTES_AN_HOUR = 60;
+const HOURS_PER_DAY = 24;
+const MINUTES_PER_HOUR = 60;
 
-/** What the service promises. */
+/** A service-level objective. */
 export interface ServiceObjective {
-  /** Share of statements that must succeed, in percent, below 100. */
+  /** Percentage of statements that must succeed; below 100. */
   readonly availabilityPercent: number;
-  /** Latency that a statement should stay within. */
+  /** Target latency of a statement. */
   readonly latencyMs: number;
 }
 
@@ -17,30 +17,30 @@
 export interface StatementCounts {
   readonly done: number;
   readonly mayHaveRun: number;
-  /** Refusals because the team itself was over its rate. */
+  /** Refusals because the team exceeded its rate. */
   readonly overRate: number;
   /** Refusals for any other reason. */
   readonly wrongful: number;
 }
 
-/** Statements that count for availability: all but those over the rate. */
-export function eligibleStatements(counts: StatementCounts): number {
+/** Counts the statements that availability is based on: all within the rate. */
+export function countEligibleStatements(counts: StatementCounts): number {
   return counts.done + counts.mayHaveRun + counts.wrongful;
 }
 
 /**
- * The share of eligible statements that succeeded; null if there were none.
+ * Fraction of eligible statements that succeeded; null if there were none.
  *
  * @example
  * availabilityOf({done: 999, mayHaveRun: 1, overRate: 50, wrongful: 0}) === 0.999;
  */
 export function availabilityOf(counts: StatementCounts): number | null {
-  const eligible = eligibleStatements(counts);
+  const eligible = countEligibleStatements(counts);
   return eligible === 0 ? null : counts.done / eligible;
 }
 
 /**
- * The share of errors over the share that the objective allows; null if there
+ * Error rate divided by the error rate that the objective allows; null if there
  * were no eligible statements. At 1 the budget lasts exactly its period.
  *
  * @example
@@ -51,7 +51,7 @@
   counts: StatementCounts,
   objective: ServiceObjective,
 ): number | null {
-  const eligible = eligibleStatements(counts);
+  const eligible = countEligibleStatements(counts);
   if (eligible === 0) return null;
   const errorPercent = (100 * (counts.mayHaveRun + counts.wrongful)) / eligible;
   const allowedPercent = 100 - objective.availabilityPercent;
@@ -59,12 +59,12 @@
 }
 
 /**
- * Says in words what a burn rate means.
+ * Describes a burn rate in words.
  *
  * @example
- * describeBurn(2) === 'over budget: a 30-day budget lasts 15.0 days at this rate';
+ * describeBurnRate(2) === 'over budget: a 30-day budget lasts 15.0 days at this rate';
  */
-export function describeBurn(rate: number | null): string {
+export function describeBurnRate(rate: number | null): string {
   if (rate === null) return 'no statements that count';
   if (rate === 0) return 'no errors';
   if (rate <= 1) return 'within budget';
@@ -75,9 +75,9 @@
 function formatLifetime(rate: number): string {
   const days = BUDGET_PERIOD_DAYS / rate;
   if (days >= 1) return `${days.toFixed(1)} days`;
-  const hours = days * HOURS_A_DAY;
+  const hours = days * HOURS_PER_DAY;
   if (hours >= 1) return `${hours.toFixed(1)} hours`;
-  return `${(hours * MINUTES_AN_HOUR).toFixed(1)} minutes`;
+  return `${(hours * MINUTES_PER_HOUR).toFixed(1)} minutes`;
 }
 
 function roundTo(value: number, digits: number): number {
--- a/test/cli/cli-fixture.ts
+++ b/test/cli/cli-fixture.ts
@@ -1,9 +1,9 @@
-/** Runs the operators' commands in this process against a stand-in store. */
+/** Runs the operator commands in this process against a stand-in store. */
 import {vi} from 'vitest';
 import yargs from 'yargs';
-import {configurationCommands} from '../../src/cli/commands.js';
+import {operatorCommands} from '../../src/cli/commands.js';
 
-/** What a command printed and how it ended. */
+/** Output and exit code of a command. */
 export interface CliRun {
   readonly code: number;
   readonly out: string;
@@ -28,7 +28,7 @@
   process.exitCode = undefined;
   try {
     const cli = yargs().strict().exitProcess(false).fail(false);
-    for (const command of configurationCommands) cli.command(command);
+    for (const command of operatorCommands) cli.command(command);
     await cli.parseAsync([...args]);
     const code = Number(process.exitCode ?? 0);
     return {code, out: out.join('\n'), err: err.join('\n')};
--- a/test/cli/durations.test.ts
+++ b/test/cli/durations.test.ts
@@ -8,7 +8,7 @@
   ['1h', 3_600_000],
   ['0s', 0],
   ['999999999h', 999_999_999 * 3_600_000],
-])('reads %s', (text, ms) => {
+])('parses %s', (text, ms) => {
   expect(parseDuration(text)).toBe(ms);
 });
 
@@ -23,7 +23,7 @@
   '1S',
   '1h30m',
   '9'.repeat(10) + 's',
-])('refuses "%s" and says what to write', text => {
+])('rejects "%s" and lists valid durations', text => {
   expect(() => parseDuration(text)).toThrow(
     `${text} is no duration; write 500ms, 10s, 2m or 1h`,
   );
--- a/test/cli/group.test.ts
+++ b/test/cli/group.test.ts
@@ -1,8 +1,8 @@
 import {describe, expect, test} from 'vitest';
 import {createStoreServer} from '../../standins/store/server.js';
 import {runCli} from './cli-fixture.js';
-import {useCliFleet, type AdminRoutes} from './fleet-fixture.js';
-import type {AnswerOf} from './json-admin.js';
+import {useStubFleet, type AdminRoutes} from './stub-fleet.js';
+import type {RouteHandler} from './stub-admin-server.js';
 
 const HOMES = {claims: 'vm2', ledger: 'vm1'};
 
@@ -50,14 +50,17 @@
   ],
 };
 
-const fleet = useCliFleet();
+const fleet = useStubFleet();
 
 const startFleet = (answers: readonly AdminRoutes[]) =>
   fleet.start(
     Object.fromEntries(answers.map((routes, i) => [`vm${i + 1}`, routes])),
   );
 
-function groups(views: readonly unknown[], homes: unknown = HOMES): AnswerOf {
+function groups(
+  views: readonly unknown[],
+  homes: unknown = HOMES,
+): RouteHandler {
   return () => ({body: {homes, views}});
 }
 
@@ -65,7 +68,7 @@
   runCli(fleet.server.url, 'group', ...args);
 
 describe('zinnia group status', () => {
-  test('prints each group as its home sees it', async () => {
+  test('prints the view of the home for each group', async () => {
     const older = {...CLAIMS, term: 2, databases: []};
     await startFleet([
       {'GET /groups': groups([older])},
@@ -82,7 +85,7 @@
     ]);
   });
 
-  test('says when another vm than the home gave the view', async () => {
+  test('names the vm that gave the view if it is not the home', async () => {
     await startFleet([
       {'GET /groups': groups([{...CLAIMS, databases: []}])},
       {'GET /groups': () => 'hangUp'},
@@ -95,7 +98,7 @@
     expect(err).toBe('no answer from vm2');
   });
 
-  test('refuses a group that no vm knows', async () => {
+  test('rejects a group that no vm knows', async () => {
     await startFleet([{'GET /groups': groups([])}]);
     const {code, err} = await run('status', 'claim');
     expect(code).toBe(1);
@@ -118,7 +121,7 @@
 });
 
 describe('zinnia group switch', () => {
-  const startWith = (answer: AnswerOf) =>
+  const startWith = (answer: RouteHandler) =>
     startFleet([
       {'GET /groups': groups([])},
       {'GET /groups': groups([CLAIMS]), 'POST /switch': answer},
@@ -159,13 +162,16 @@
     ],
   ] as const;
 
-  test.each(switchCases)('says it was %s', async (_, body, code, out) => {
-    await startWith(() => ({body}));
-    const result = await run('switch', 'claims', 'claims-2');
-    expect(result).toEqual({code, out, err: ''});
-  });
+  test.each(switchCases)(
+    'reports that the switch was %s',
+    async (_, body, code, out) => {
+      await startWith(() => ({body}));
+      const result = await run('switch', 'claims', 'claims-2');
+      expect(result).toEqual({code, out, err: ''});
+    },
+  );
 
-  test('orders it once, at the home', async () => {
+  test('sends one request, to the home', async () => {
     await startWith(() => ({body: {kind: 'switched', term: 4}}));
     await run('switch', 'claims', 'claims-2');
     expect(fleet.admins.map(admin => admin.count('POST /switch'))).toEqual([
@@ -177,7 +183,7 @@
     });
   });
 
-  test('goes to another vm if the home does not answer', async () => {
+  test('requests the switch from another vm if the home does not answer', async () => {
     await startFleet([
       {
         'GET /groups': groups([]),
@@ -190,13 +196,13 @@
   });
 
   test.each([
-    ['a lost answer', () => 'hangUp' as const],
+    ['a lost response', () => 'hangUp' as const],
     [
-      'an error of the home',
+      'an error from the home',
       () => ({status: 400, body: {error: 'no answer in time'}}),
     ],
-    ['an answer it can not read', () => ({body: {kind: 'maybe'}})],
-  ])('does not repeat it after %s', async (_, answer) => {
+    ['a malformed response', () => ({body: {kind: 'maybe'}})],
+  ])('does not retry after %s', async (_, answer) => {
     await startWith(answer);
     const {code, err} = await run('switch', 'claims', 'claims-2');
     expect(code).toBe(4);
@@ -204,7 +210,7 @@
     expect(fleet.admins[1]?.count('POST /switch')).toBe(1);
   });
 
-  test('passes on that there is no such group', async () => {
+  test('reports that the group does not exist', async () => {
     await startWith(() => ({
       status: 404,
       body: {error: 'there is no group claims'},
@@ -214,7 +220,7 @@
     expect(err).toBe('error: there is no group claims');
   });
 
-  test('orders nothing if no vm answers', async () => {
+  test('requests no switch if no vm answers', async () => {
     await startFleet([{'GET /groups': () => 'hangUp'}]);
     const {code, err} = await run('switch', 'claims', 'claims-2');
     expect(code).toBe(1);
--- a/test/cli/in-force.test.ts
+++ b/test/cli/in-force.test.ts
@@ -1,10 +1,10 @@
 import {beforeEach, expect, test, vi} from 'vitest';
 import {runCli} from './cli-fixture.js';
-import {useCliFleet, type AdminRoutes} from './fleet-fixture.js';
+import {useStubFleet, type AdminRoutes} from './stub-fleet.js';
 
 const VM_COUNT = 7;
 
-const fleet = useCliFleet();
+const fleet = useStubFleet();
 /** The version in force on each VM. */
 let configs: number[];
 
@@ -45,7 +45,7 @@
   expect(err).toContain('it stays accepted');
 });
 
-test('takes no answer from another vm at a listed address', async () => {
+test('ignores the response of another vm at a listed address', async () => {
   configs.fill(1);
   const vms = fleet.admins.map(admin => admin.vm);
   fleet.server.setVms(
@@ -56,7 +56,7 @@
   expect(out).toContain('in force on 6 of 7');
 });
 
-test('does not take an empty list for in force', async () => {
+test('does not report a version in force if no vm is listed', async () => {
   fleet.server.setVms([]);
   const {code, out} = await run(...setLab, '--timeout', '100ms');
   expect(code).toBe(3);
--- a/test/cli/key.test.ts
+++ b/test/cli/key.test.ts
@@ -38,14 +38,14 @@
   expect(checkKey(text)).toMatchObject({kind: 'withdrawn'});
 });
 
-test('never stores the key itself', async () => {
+test('stores the id of a key but not its secret', async () => {
   const [text = ''] = (await run('key', 'grant', 'lab')).out.split('\n');
   const stored = server.get(CONFIG_KEY) ?? '';
   expect(stored).toContain(text.slice(3, 19));
   expect(stored).not.toContain(text.slice(20));
 });
 
-test('refuses a key for a team without a row, and an unknown key', async () => {
+test('rejects a grant to a team without a row and the withdrawal of an unknown key', async () => {
   const granted = await run('key', 'grant', 'nobody');
   expect(granted).toMatchObject({code: 1, out: ''});
   expect(granted.err).toContain('zinnia table set team nobody');
@@ -55,7 +55,7 @@
   );
 });
 
-test('prints the key after a lost answer', async () => {
+test("prints the granted key after the store's response was lost", async () => {
   server.faults.loseAnswers(1);
   const {code, out} = await run('key', 'grant', 'lab');
   expect(code).toBe(0);
--- a/test/cli/report-burn.test.ts
+++ b/test/cli/report-burn.test.ts
@@ -16,12 +16,12 @@
 } from '../telemetry/fixture.js';
 import {createStoreServer} from '../../standins/store/server.js';
 import {runCli} from './cli-fixture.js';
-import {useCliFleet, type AdminRoutes} from './fleet-fixture.js';
+import {useStubFleet, type AdminRoutes} from './stub-fleet.js';
 
-const fleet = useCliFleet();
+const fleet = useStubFleet();
 
-/** Slices of one minute before now, whenever the test runs. */
-function recent(errors: number) {
+/** A slice of one minute ago by the system clock, with refusals. */
+function recentSlices(errors: number) {
   const startedAt = Math.floor((Date.now() - 60_000) / 10_000) * 10_000;
   return [createSlice(0, [10, 20], {startedAt, refused: {noPrimary: errors}})];
 }
@@ -43,7 +43,7 @@
   runCli(fleet.server.url, 'report', 'burn', ...args);
 
 describe('zinnia report burn', () => {
-  test('collects what the listed vms counted', async () => {
+  test('computes the report from the counts of the listed vms', async () => {
     await startFleet(Object.fromEntries(VMS.map(v => [v.vm, v.slices])));
     const store = new EtcdStore({url: fleet.server.url});
     const clock = new ManualClock(NOW);
@@ -52,8 +52,8 @@
     expect(report).toEqual(createReport());
   });
 
-  test('prints a table and names the vms without an answer', async () => {
-    await startFleet({vm1: recent(0), vm2: undefined});
+  test('prints a table and names the vms that did not answer', async () => {
+    await startFleet({vm1: recentSlices(0), vm2: undefined});
     const {code, out, err} = await run();
     expect(code).toBe(0);
     expect(out).toContain('from 1 of 2 VMs; no answer, so missing here: vm2');
@@ -62,21 +62,21 @@
   });
 
   test.each([
-    ['what is no list of slices', [{team: 'x'}]],
+    ['a malformed list of slices', [{team: 'x'}]],
     ['negative counts', [createSlice(0, [1], {done: -1})]],
-  ])('takes %s for no answer', async (_, slices) => {
+  ])('treats a response with %s as no answer', async (_, slices) => {
     await startFleet({vm1: slices});
     expect((await run()).err).toBe('no answer from vm1');
   });
 
-  test('takes no answer from another vm at a listed address', async () => {
-    await startFleet({vm1: recent(0)});
+  test('ignores the response of another vm at a listed address', async () => {
+    await startFleet({vm1: recentSlices(0)});
     fleet.server.setVms(fleet.admins.map(({vm}) => ({...vm, id: 'gone'})));
     expect((await run()).err).toBe('no answer from gone');
   });
 
   test('writes json', async () => {
-    await startFleet({vm1: recent(1)});
+    await startFleet({vm1: recentSlices(1)});
     const {code, out} = await run('--format', 'json', '--window', '5m');
     const report = JSON.parse(out) as BurnReport;
     expect(code).toBe(0);
@@ -86,7 +86,7 @@
   });
 
   test('writes html to a file', async () => {
-    await startFleet({vm1: recent(1)});
+    await startFleet({vm1: recentSlices(1)});
     const dir = await mkdtemp(join(tmpdir(), 'burn-'));
     try {
       const path = join(dir, 'burn.html');
@@ -99,7 +99,7 @@
   });
 
   test('exits with 1 if a burn rate is above the limit', async () => {
-    await startFleet({vm1: recent(1)});
+    await startFleet({vm1: recentSlices(1)});
     const failed = await run('--fail-above', '10');
     expect(failed.code).toBe(1);
     expect(failed.err).toBe(
@@ -108,7 +108,7 @@
     expect((await run('--fail-above', '400')).code).toBe(0);
   });
 
-  test('exits with 1 if no vm answers a check', async () => {
+  test('exits with 1 if no vm answers and a limit is given', async () => {
     await startFleet({vm1: undefined});
     const {code, err} = await run('--fail-above', '10');
     expect(code).toBe(1);
@@ -132,7 +132,7 @@
     ['--objective-availability', '100', 'below 100'],
     ['--objective-latency-ms', '0', 'above 0'],
     ['--fail-above', 'x', 'takes a burn rate'],
-  ])('refuses %s %s', async (flag, value, message) => {
+  ])('rejects %s %s', async (flag, value, message) => {
     const {code, err} = await run(flag, value);
     expect(code).toBe(1);
     expect(err).toContain(message);
--- a/test/cli/json-admin.ts
+++ b/test/cli/stub-admin-server.ts
@@ -1,24 +1,24 @@
-/** A VM's admin port that gives fixed answers by method and path. */
+/** Stub of a VM's admin port. */
 import {createServer, type Server} from 'node:http';
 import type {AddressInfo} from 'node:net';
 import type {VmRecord} from '../../src/infra/vm-list.js';
 
-/** An answer; `hangUp` closes the connection without one. */
-export type AnswerOf = (
+/** Returns the response; `hangUp` closes the connection without one. */
+export type RouteHandler = (
   body: unknown,
 ) => {readonly status?: number; readonly body: unknown} | 'hangUp';
 
-/** Answers by `METHOD /path`, and keeps the requests. */
-export class JsonAdmin {
+/** HTTP server with a handler per `METHOD /path`; records the requests. */
+export class StubAdminServer {
   readonly id: string;
   readonly requests: {readonly route: string; readonly body: unknown}[] = [];
-  readonly #answers: ReadonlyMap<string, AnswerOf>;
+  readonly #handlers: ReadonlyMap<string, RouteHandler>;
   readonly #http: Server;
   #port = 0;
 
-  constructor(id: string, answers: Readonly<Record<string, AnswerOf>>) {
+  constructor(id: string, handlers: Readonly<Record<string, RouteHandler>>) {
     this.id = id;
-    this.#answers = new Map(Object.entries(answers));
+    this.#handlers = new Map(Object.entries(handlers));
     this.#http = createServer(async (req, res) => {
       const chunks: Buffer[] = [];
       for await (const chunk of req) chunks.push(chunk as Buffer);
@@ -27,7 +27,7 @@
       const {pathname} = new URL(req.url ?? '/', 'http://vm');
       const route = `${req.method} ${pathname}`;
       this.requests.push({route, body});
-      const answer = this.#answers.get(route)?.(body);
+      const answer = this.#handlers.get(route)?.(body);
       if (answer === 'hangUp') return void req.socket.destroy();
       res.writeHead(answer?.status ?? (answer === undefined ? 404 : 200));
       res.end(JSON.stringify(answer?.body ?? {error: 'no such path'}));
@@ -52,7 +52,7 @@
     };
   }
 
-  /** How often a route was asked for. */
+  /** Number of requests for a route. */
   count(route: string): number {
     return this.requests.filter(req => req.route === route).length;
   }
--- a/test/cli/table.test.ts
+++ b/test/cli/table.test.ts
@@ -27,7 +27,7 @@
 
 const run = (...args: readonly string[]) => runCli(server.url, ...args);
 
-/** Runs a command line whose words have no spaces in them. */
+/** Runs a command line, split at spaces. */
 const runLine = (line: string) => run(...line.split(' '));
 
 async function writeTable(...rows: readonly string[]): Promise<string> {
@@ -47,7 +47,7 @@
   expect({code, out, err}).toEqual({code: 0, out: HEADER, err: 'version=0'});
 });
 
-test('writes the table to a file that applies unchanged', async () => {
+test('writes the table to a file that can be applied without changes', async () => {
   await seed();
   const path = join(folder, 'out.csv');
   expect((await run('table', 'get', '--output', path)).err).toBe('version=1');
@@ -66,7 +66,7 @@
   expect(out).toContain('group,claims,80,20,,,500,replica');
 });
 
-test('adds a row and lists every fault of another', async () => {
+test('adds a valid row and lists every fault of an invalid one', async () => {
   const added = await runLine('table set team 7 rate=2.5 burst=9');
   expect(added.code).toBe(0);
   const faulty = await runLine('table set team x rate=no old=1');
@@ -78,7 +78,7 @@
   ]);
 });
 
-test('refuses assignments that name no column', async () => {
+test('rejects assignments to unknown columns or without a value', async () => {
   const unknown = await runLine('table set team lab colour=red');
   expect(unknown).toMatchObject({code: 1});
   expect(unknown.err).toContain('use one of old, new, rate');
@@ -86,7 +86,7 @@
   expect(bare.err).toContain('write column=value');
 });
 
-test('shows what a file would change and changes nothing', async () => {
+test('shows the changes of a dry run without applying them', async () => {
   await seed();
   const path = await writeTable(
     CLAIMS.replace('100,0', '90,10'),
@@ -102,7 +102,7 @@
   expect((await runLine('table get')).err).toBe('version=1');
 });
 
-test('keeps what others changed since the base version', async () => {
+test('keeps the changes that others made since the base version', async () => {
   await seed();
   await runLine('table set group claims old=70 new=30 --by ben');
   await runLine('table set team extra rate=1 burst=1 --by ben');
@@ -117,7 +117,7 @@
   expect(out).toContain('team,extra');
 });
 
-test('refuses a file whose row another operator changed', async () => {
+test('rejects a file with a row that another operator has changed', async () => {
   await seed();
   await runLine('table set team lab rate=70 --by ben');
   const path = await writeTable(CLAIMS, LAB.replace('50', '60'));
@@ -133,14 +133,14 @@
   expect(future.err).toContain('base version 9 does not exist');
 });
 
-test('warns when a file is applied without its base version', async () => {
+test('warns if a file is applied without its base version', async () => {
   await seed();
   const path = await writeTable(CLAIMS, LAB);
   const {err} = await run('table', 'apply', path);
   expect(err).toContain('warning: without --base-version');
 });
 
-test('checks a file without the store', async () => {
+test('validates a file without the store', async () => {
   await server.startOutage('refuse');
   const good = await writeTable(CLAIMS, LAB);
   const cli = (path: string) => run('table', 'check', path);
@@ -157,7 +157,7 @@
   expect(missing.err).toContain('give the path of a CSV file');
 });
 
-test('prints who changed what', async () => {
+test('prints the history of edits', async () => {
   await seed();
   await runLine('table set team lab rate=60 --by ben --edit-id e1');
   const {out} = await runLine('table history');
@@ -166,7 +166,7 @@
   expect(second).toMatch(/^version=2 .* by=ben id=e1 summary="set team lab"$/);
 });
 
-test('applies an edit id once', async () => {
+test('applies an edit with the same id once', async () => {
   await seed();
   const args = ['table', 'set', 'team', 'lab', '--edit-id', 'e1'];
   await run(...args, 'rate=60');
@@ -175,7 +175,7 @@
   expect((await runLine('table get')).out).toContain('team,lab,,,70');
 });
 
-test('exits with 4 when the store is down', async () => {
+test('exits with 4 if the store is down', async () => {
   await server.startOutage('refuse');
   const {code, err} = await runLine('table get');
   expect(code).toBe(4);
--- a/test/explain/chain.test.ts
+++ b/test/explain/timeline.test.ts
@@ -2,11 +2,11 @@
 import {describe, expect, it} from 'vitest';
 import {explain} from '../../src/cli/explain.js';
 import {CommandError} from '../../src/cli/context.js';
-import {explainRequest} from '../../src/explain/chain.js';
-import {formatChain} from '../../src/explain/format-chain.js';
+import {explainRequest} from '../../src/explain/timeline.js';
+import {formatTimeline} from '../../src/explain/format-timeline.js';
 import {parseLogLine} from '../../src/explain/log-line.js';
 
-/** Lines of three nodes on a played day whose primary went dark. */
+/** Logs of a simulated day in which a group's primary becomes unreachable. */
 const LOG = new URL('./dark-primary.txt', import.meta.url);
 const REFUSED = 'bf98169c5c73c0fe';
 
@@ -14,8 +14,8 @@
   .split('\n')
   .flatMap(text => parseLogLine(text) ?? []);
 
-describe('reading a log line', () => {
-  it('gives the fields back, quoted ones too, whatever stands before them', () => {
+describe('parseLogLine', () => {
+  it('parses plain and quoted fields after a collector prefix', () => {
     const line = parseLogLine(
       'node-1 | time=2026-04-09T15:21:53.262Z level=warn event=storeLost vm=node-1 message="said \\"no\\" twice" provenMsAgo=2937',
     );
@@ -26,18 +26,18 @@
     });
   });
 
-  it('passes over what is no line of a node', () => {
+  it('returns undefined for text that is not a log line of a node', () => {
     for (const text of ['', 'time=', 'time=now event=x', 'hello time=1 b']) {
       expect(parseLogLine(text)).toBeUndefined();
     }
   });
 });
 
-describe('the chain of a refused request', () => {
+describe('the timeline of a refused request', () => {
   const steps = explainRequest(REFUSED, lines);
   const events = steps.map(({line}) => line.event);
 
-  it('leads from the loss of the primary to the refusal', () => {
+  it('includes the loss of the primary and the refusal, in this order', () => {
     const own = steps.filter(({isOwn}) => isOwn);
     expect(own.map(({line}) => line.event)).toEqual([
       'statementGivenUp',
@@ -49,14 +49,14 @@
     expect(events).toContain('promotionOrdered');
   });
 
-  it('says how old each input was', () => {
+  it('gives the age of each event', () => {
     const ordered = steps.find(({line}) => line.event === 'promotionOrdered');
     expect(ordered?.ageMs).toBe(84);
     const [inForce] = steps.filter(({line}) => line.event === 'catalogInForce');
     expect(inForce?.line.fields.version).toBe('18');
   });
 
-  it('leaves out what came later and what is about other requests', () => {
+  it('excludes later lines and lines of other requests', () => {
     expect(steps.every(({ageMs}) => ageMs >= 0)).toBe(true);
     const others = steps.filter(
       ({line, isOwn}) => line.fields.request !== undefined && !isOwn,
@@ -64,8 +64,8 @@
     expect(others).toEqual([]);
   });
 
-  it('is written one line a step, with the request marked', () => {
-    const text = formatChain(steps);
+  it('is formatted as one line per step, with the request marked', () => {
+    const text = formatTimeline(steps);
     expect(text.at(-1)).toMatch(
       /^\* +-0\.000 s front-tas-devonport-1 statementFailed .*outcome=noPrimary/,
     );
@@ -79,17 +79,17 @@
     return {
       printed,
       print: (line: string) => printed.push(line),
-      note: () => {},
+      printDiagnostic: () => {},
     };
   };
 
-  it('prints the chain from the files', async () => {
+  it('prints the timeline from the log files', async () => {
     const out = output();
     await explain({request: REFUSED, logs: [LOG.pathname]}, out);
-    expect(out.printed).toEqual(formatChain(explainRequest(REFUSED, lines)));
+    expect(out.printed).toEqual(formatTimeline(explainRequest(REFUSED, lines)));
   });
 
-  it('says what to do where no line is about the request', async () => {
+  it('explains how to proceed if no line is about the request or a file is missing', async () => {
     const args = {request: 'none', logs: [LOG.pathname]};
     await expect(explain(args, output())).rejects.toThrow(
       /give the logs of all nodes/,
--- a/test/telemetry/burn-golden.test.ts
+++ b/test/telemetry/burn-golden.test.ts
@@ -1,11 +1,11 @@
 import {describe, expect, test} from 'vitest';
 import {formatReport, type ReportFormat} from '../../src/cli/report-burn.js';
-import {windowStart} from '../../src/telemetry/burn-report.js';
+import {alignedWindowStart} from '../../src/telemetry/burn-report.js';
 import {createReport, NOW} from './fixture.js';
 
 const VOID_ELEMENTS = ['meta', '!doctype'];
 
-/** The elements that are not closed, or closed out of order. */
+/** Returns tags that are unclosed or closed out of order, and stray brackets. */
 function findMalformed(html: string): readonly string[] {
   const open: string[] = [];
   const faults: string[] = [];
@@ -20,7 +20,7 @@
   return [...faults, ...open, ...(/[<>]/.exec(text) ?? [])];
 }
 
-/** How many points each line of the page's plots has, in order. */
+/** Counts the points of each line in the page's plots, in document order. */
 function countPoints(html: string): readonly number[] {
   const lines = html.matchAll(/<path class="(?:first|second)" d="([^"]*)"/g);
   return [...lines].map(([, d = '']) => d.match(/[ML]/g)?.length ?? 0);
@@ -28,18 +28,18 @@
 
 const FORMATS: readonly ReportFormat[] = ['table', 'json', 'html'];
 
-describe('the burn report', () => {
-  test.each(FORMATS)('is written as %s', async format => {
+describe('burn report formats', () => {
+  test.each(FORMATS)('renders as %s', async format => {
     const text = formatReport(createReport(), format);
     await expect(text).toMatchFileSnapshot(`golden/burn-${format}.snap`);
   });
 
-  test.each(FORMATS)('says as %s that there is nothing', async format => {
+  test.each(FORMATS)('renders a report without VMs as %s', async format => {
     const text = formatReport(createReport([]), format);
     await expect(text).toMatchFileSnapshot(`golden/empty-${format}.snap`);
   });
 
-  test('escapes names and loads nothing from elsewhere', () => {
+  test('escapes names and references no external resources', () => {
     const html = formatReport(createReport(), 'html');
     expect(html).toContain('&lt;b&gt;&quot;R&amp;D&quot;&lt;/b&gt;');
     expect(html).not.toContain('<b>');
@@ -48,7 +48,7 @@
   });
 
   test.each([[createReport()], [createReport([])]])(
-    'is well-formed html that names the vms without an answer',
+    'renders well-formed html that names the vms that did not answer',
     report => {
       const html = formatReport(report, 'html');
       expect(findMalformed(html)).toEqual([]);
@@ -58,7 +58,7 @@
     },
   );
 
-  test('plots every step of every window, and draws those that have statements', () => {
+  test('has a plot point for every step and draws those that have statements', () => {
     const report = createReport();
     for (const {points} of report.plots) {
       const starts = points.map(({startedAt}) => startedAt);
@@ -66,7 +66,7 @@
       expect(new Set(steps).size).toBe(1);
       expect(starts.at(-1)).toBeGreaterThan(NOW - (steps[0] ?? 0));
       for (const {ms} of report.windows) {
-        const since = windowStart(NOW, ms);
+        const since = alignedWindowStart(NOW, ms);
         expect(starts.some(at => at <= since)).toBe(true);
         expect(starts.some(at => at >= since)).toBe(true);
       }
--- a/test/telemetry/burn-report.test.ts
+++ b/test/telemetry/burn-report.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, test} from 'vitest';
 import {
   collectBurnReport,
-  highestBurn,
+  highestBurnRate,
   type BurnRow,
 } from '../../src/telemetry/burn-report.js';
 import {StatementMetrics} from '../../src/telemetry/metrics.js';
@@ -10,7 +10,7 @@
 import {createReport, createSlice, NOW, OBJECTIVE, VMS} from './fixture.js';
 
 function rowOf(team: string): BurnRow {
-  const row = createReport().rows.find(one => one.team === team);
+  const row = createReport().rows.find(candidate => candidate.team === team);
   if (row === undefined) throw new Error(`no row of ${team}`);
   return row;
 }
@@ -23,7 +23,7 @@
     expect(row.availability).toBeCloseTo(300 / 301, 12);
   });
 
-  test('takes percentiles of the merged latencies', () => {
+  test('computes percentiles of the merged latencies', () => {
     // 1 to 100 ms, 2 to 200 ms and 5 to 500 ms, 100 values each.
     const all = [1, 2, 5]
       .flatMap(step => Array.from({length: 100}, (_, i) => (i + 1) * step))
@@ -38,7 +38,7 @@
   });
 
   test.each([0.137, 21.1, 39.4, 999])(
-    'reports one latency of %s ms from a node the same way throughout',
+    'reports equal p50, p99 and max when every latency is %s ms',
     elapsedMs => {
       const metrics = new StatementMetrics(new ManualClock(NOW));
       const series = {team: 'members', group: 'claims', kind: 'read'} as const;
@@ -55,7 +55,7 @@
     },
   );
 
-  test('counts no statement that its caller took back', () => {
+  test('does not count a statement that its caller cancelled', () => {
     const metrics = new StatementMetrics(new ManualClock(NOW));
     const series = {team: 'members', group: 'claims', kind: 'read'} as const;
     const verdict = notRun('cancelled', 'why');
@@ -69,7 +69,7 @@
     expect(metrics.slices(0)).toEqual([]);
   });
 
-  test('weighs a batch by its statements', () => {
+  test('counts each statement of a batch', () => {
     const metrics = new StatementMetrics(new ManualClock(NOW));
     const series = {
       team: 'members',
@@ -77,12 +77,12 @@
       servedBy: 'replica',
     } as const;
     const lost = mayHaveRun('targetLost', 'lost');
-    const over = notRun('rateLimited', 'over the rate');
+    const refusedOverRate = notRun('rateLimited', 'over the rate');
     for (const [verdict, statements, elapsedMs] of [
       [DONE, 1, 10],
       [DONE, 3, 400],
       [lost, 2, 400],
-      [over, 5, 1],
+      [refusedOverRate, 5, 1],
     ] as const) {
       metrics.observe({
         ...series,
@@ -104,7 +104,7 @@
     expect(row?.withinLatency).toBeCloseTo(1 / 6, 12);
   });
 
-  test('keeps refusals over the rate apart from unavailability', () => {
+  test('does not count refusals over the rate as unavailability', () => {
     const row = rowOf('members');
     expect(row).toMatchObject({statements: 84, overRate: 30, wrongful: 4});
     expect(row.availability).toBeCloseTo(48 / 54, 12);
@@ -121,7 +121,7 @@
     ]);
   });
 
-  test('computes the burn of each window, the shortest first', () => {
+  test('computes the burn rate of each window, shortest first', () => {
     const {burn} = rowOf('assessors');
     expect(burn.map(({window}) => window)).toEqual(['5m', '30m', '1h']);
     expect(burn[0]?.rate).toBe(0);
@@ -139,14 +139,14 @@
     expect(unanswered).toEqual(['vm3']);
   });
 
-  test('counts a vm with a damaged histogram as one without an answer', () => {
+  test('counts a vm with a damaged histogram as unanswered', () => {
     const slices = [createSlice(0, [1], {latency: 'bm90IGEgaGlzdG9ncmFt'})];
     const report = createReport([...VMS, {vm: 'vm4', slices}]);
     expect(report.unanswered).toEqual(['vm3', 'vm4']);
     expect(report.rows).toEqual(createReport().rows);
   });
 
-  test('leaves out slices before the longest window', () => {
+  test('excludes slices older than the longest window', () => {
     const report = collectBurnReport({
       vms: VMS,
       now: NOW,
@@ -157,7 +157,7 @@
     expect(row?.statements).toBe(100);
   });
 
-  test('plots at most about sixty steps, with gaps where nothing ran', () => {
+  test('plots about sixty steps at most, with gaps where nothing ran', () => {
     const plot = createReport().plots.find(({team}) => team === 'members');
     expect(plot?.points.length).toBeGreaterThanOrEqual(45);
     expect(plot?.points.length).toBeLessThanOrEqual(61);
@@ -166,8 +166,8 @@
     expect(ran?.[0]?.burn).toBeCloseTo(6_000 / 54, 5);
   });
 
-  test('finds the highest burn', () => {
-    expect(highestBurn(createReport())).toBeCloseTo(6_000 / 54, 5);
-    expect(highestBurn(createReport([]))).toBeNull();
+  test('returns the highest burn rate, or null without rows', () => {
+    expect(highestBurnRate(createReport())).toBeCloseTo(6_000 / 54, 5);
+    expect(highestBurnRate(createReport([]))).toBeNull();
   });
 });
--- a/test/telemetry/fixture.ts
+++ b/test/telemetry/fixture.ts
@@ -1,4 +1,4 @@
-/** Fixed statements of two VMs, and a third one without an answer. */
+/** Statement counts of two VMs, and a third VM that did not answer. */
 import {build, encodeIntoCompressedBase64} from 'hdr-histogram-js';
 import {
   collectBurnReport,
@@ -17,7 +17,7 @@
 
 export const OBJECTIVE = {availabilityPercent: 99.9, latencyMs: 250} as const;
 
-/** A slice that began `agoMs` before {@link NOW}. */
+/** Creates the slice that contains the time `agoMs` before {@link NOW}. */
 export function createSlice(
   agoMs: number,
   latenciesMs: readonly number[],
@@ -39,16 +39,16 @@
   };
 }
 
-const upTo = (count: number, stepMs: number) =>
+const latencySteps = (count: number, stepMs: number) =>
   Array.from({length: count}, (_, i) => (i + 1) * stepMs);
 
 export const VMS: readonly VmStatements[] = [
   {
     vm: 'vm1',
     slices: [
-      createSlice(3_000_000, upTo(100, 1)),
-      createSlice(60_000, upTo(100, 5), {atReplicas: 90}),
-      createSlice(60_000, upTo(50, 2), {
+      createSlice(3_000_000, latencySteps(100, 1)),
+      createSlice(60_000, latencySteps(100, 5), {atReplicas: 90}),
+      createSlice(60_000, latencySteps(50, 2), {
         team: 'members',
         group: 'ledger',
         kind: 'write',
@@ -61,7 +61,7 @@
   {
     vm: 'vm2',
     slices: [
-      createSlice(1_200_000, upTo(100, 2), {refused: {overloaded: 1}}),
+      createSlice(1_200_000, latencySteps(100, 2), {refused: {overloaded: 1}}),
       createSlice(60_000, [400], {team: '<b>"R&D"</b>'}),
       createSlice(70_000, [], {team: 'quiet', refused: {rateLimited: 4}}),
     ],
@@ -69,7 +69,7 @@
   {vm: 'vm3', slices: undefined},
 ];
 
-/** The report on {@link VMS}. */
+/** Creates a report, by default on {@link VMS}. */
 export function createReport(vms = VMS): BurnReport {
   return collectBurnReport({
     vms,
--- a/test/telemetry/log.test.ts
+++ b/test/telemetry/log.test.ts
@@ -7,7 +7,7 @@
   return {lines, log};
 }
 
-test('writes one key=value line an event, a message field included', () => {
+test('writes one line of key=value pairs per event, including a message field', () => {
   const {lines, log} = capture();
   log.warn('storeUnreachable', {message: 'no answer in 2 s'});
   expect(lines).toHaveLength(1);
@@ -16,7 +16,7 @@
   );
 });
 
-test('quotes values that would break a line into other keys', () => {
+test('quotes empty values and values with spaces, line breaks or =', () => {
   expect(formatFields({a: 'x=1 y', b: '', c: 2, d: undefined})).toBe(
     'a="x=1 y" b="" c=2',
   );
