--- a/src/telemetry/bounded-log.ts
+++ b/src/telemetry/bounded-log.ts
@@ -21,7 +21,7 @@
  * the limit.
  *
  * @example
- * const log = new BoundedLogger(createLogger('info'), () => performance.now());
+ * const log = new RateLimitedLogger(createLogger('info'), () => performance.now());
  */
 export class BoundedLogger extends BaseLogger {
   readonly #inner: Logger;
