--- a/src/admission/budget-service.ts
+++ b/src/admission/budget-service.ts
@@ -81,7 +81,7 @@
    * before the store can fail. Call it for the teams for which this node ranks
    * first.
    */
-  async prepare(teams: readonly string[]): Promise<void> {
+  async ensureOwners(teams: readonly string[]): Promise<void> {
     const pending = teams.filter(team => !this.#ensuredTeams.has(team));
     await Promise.all(pending.map(team => this.#ensureOwner(team)));
   }
@@ -92,7 +92,7 @@
    * usable when the owner fails. Call it for the teams for which this node is
    * among the best-ranked.
    */
-  standBy(teams: readonly string[]): void {
+  setStandbyTeams(teams: readonly string[]): void {
     const selected = new Set(teams);
     for (const [team, budget] of this.#teams) {
       if (!selected.has(team)) budget.setStandby(false);
--- a/src/admission/fair-queue.ts
+++ b/src/admission/fair-queue.ts
@@ -13,7 +13,7 @@
 export const ORDINARY_DISPATCH_INTERVAL = 8;
 
 /** The attributes of an item by which the queue schedules it. */
-export interface WorkOrder {
+export interface SchedulingParams {
   readonly team: string;
   readonly class: WorkClass;
   /** Monotonic time at which the caller gives up. */
@@ -28,7 +28,7 @@
   | {readonly kind: 'refused'; readonly retryAfterMs: number};
 
 /** An item taken from the queue: to run, or expired while it waited. */
-export type Taken<T> =
+export type TakenItem<T> =
   | {readonly kind: 'run'; readonly item: T}
   | {readonly kind: 'expired'; readonly item: T};
 
@@ -90,7 +90,7 @@
    * @example
    * queue.offer(job, {team, class: 'ordinary', deadlineMs: now + 500, costMs: 4});
    */
-  offer(item: T, order: WorkOrder): OfferResult {
+  offer(item: T, order: SchedulingParams): OfferResult {
     const nowMs = this.#options.clock.now();
     const expectedWaitMs = this.#expectedWaitMs(order);
     const lateMs = nowMs + expectedWaitMs + order.costMs - order.deadlineMs;
@@ -102,7 +102,7 @@
   }
 
   /** Takes an expired item if there is one, else the next item to run. */
-  take(): Taken<T> | undefined {
+  take(): TakenItem<T> | undefined {
     const expired = this.takeExpired();
     if (expired !== undefined) return {kind: 'expired', item: expired};
     const next = this.#nextClass();
@@ -142,7 +142,7 @@
     return 'urgent';
   }
 
-  #expectedWaitMs(order: WorkOrder): number {
+  #expectedWaitMs(order: SchedulingParams): number {
     const {urgent, ordinary} = this.#classes;
     const sameClassMs = this.#classes[order.class].costAheadMs(order.team);
     const concurrency = Math.max(1, this.#options.concurrency());
--- a/src/admission/team-queues.ts
+++ b/src/admission/team-queues.ts
@@ -1,6 +1,6 @@
 /** Start-time fair queueing (SFQ) between the teams of one priority class. */
 
-import type {WorkOrder} from './fair-queue.js';
+import type {SchedulingParams} from './fair-queue.js';
 
 const MIN_WEIGHT = 1e-6;
 
@@ -59,7 +59,7 @@
     return oldestMs;
   }
 
-  push(item: T, order: WorkOrder, queuedAtMs: number): void {
+  push(item: T, order: SchedulingParams, queuedAtMs: number): void {
     const queue = this.#queueOf(order.team);
     const startTag = Math.max(this.#virtualTime, queue.finishTag);
     const {costMs, deadlineMs} = order;
--- a/src/catalog/types.ts
+++ b/src/catalog/types.ts
@@ -23,11 +23,11 @@
   /** 0 is the most urgent. */
   readonly priority: number;
   /** True if callers need no key. */
-  readonly isOpen: boolean;
+  readonly allowsAnonymous: boolean;
 }
 
 /** Team of the callers without a valid key on routes that require none. */
-export const OPEN_TEAM = 'public';
+export const ANONYMOUS_TEAM = 'public';
 
 /** A team and its rate limit. */
 export interface Team {
@@ -54,11 +54,11 @@
   /** Team names by key. */
   readonly keys: ReadonlyMap<string, string>;
   /** How long a transaction may stay idle. */
-  readonly idleTransactionMs: number;
+  readonly idleTransactionTimeoutMs: number;
 }
 
 /** A database as it announced itself. */
-export interface DatabaseEntry {
+export interface AnnouncedDatabase {
   readonly id: string;
   readonly group: string;
   readonly host: string;
@@ -80,5 +80,5 @@
   groups: new Map(),
   teams: new Map(),
   keys: new Map(),
-  idleTransactionMs: 60_000,
+  idleTransactionTimeoutMs: 60_000,
 };
--- a/src/cli/table-apply.ts
+++ b/src/cli/table-apply.ts
@@ -4,7 +4,7 @@
 import {applyChange, type RowsChange} from '../rollout/changes.js';
 import type {EditResult} from '../rollout/edit-result.js';
 import {
-  createConflict,
+  createConflictResult,
   readConfig,
   type EditIdentity,
 } from '../rollout/editor.js';
@@ -68,7 +68,10 @@
       return {diff, result: {kind: 'refused', reason: dryRunResult.message}};
     case 'conflict': {
       const {row, version} = dryRunResult;
-      return {diff, result: createConflict(document, row, version, identity)};
+      return {
+        diff,
+        result: createConflictResult(document, row, version, identity),
+      };
     }
   }
 }
--- a/src/cli/table-set.ts
+++ b/src/cli/table-set.ts
@@ -7,7 +7,7 @@
   formatCells,
   isCsvColumn,
   parseCells,
-  resolveCsvColumn,
+  csvColumnOf,
   CSV_COLUMNS,
   type CsvColumn,
 } from '../rollout/table-cells.js';
@@ -85,7 +85,7 @@
   throw new TableError(
     result.faults.map(fault => ({
       ...fault,
-      column: resolveCsvColumn(fault.column),
+      column: csvColumnOf(fault.column),
     })),
   );
 }
--- a/src/fleet/feed-relay.ts
+++ b/src/fleet/feed-relay.ts
@@ -75,7 +75,7 @@
   }
 
   /** Records a change of a key's value. */
-  note(change: FeedChange): void {
+  recordChange(change: FeedChange): void {
     this.#changes.set(change.key, change);
     if (change.value !== undefined) this.#removedAt.delete(change.key);
     else this.#removedAt.set(change.key, this.#clock.now());
--- a/src/fleet/member-lease.ts
+++ b/src/fleet/member-lease.ts
@@ -98,7 +98,7 @@
   async end(): Promise<void> {
     const lease = this.#lease;
     this.#clearLease();
-    if (lease !== undefined) await this.#options.store.end(lease);
+    if (lease !== undefined) await this.#options.store.revoke(lease);
   }
 
   async #register(): Promise<void> {
--- a/src/fleet/member-list.ts
+++ b/src/fleet/member-list.ts
@@ -113,6 +113,6 @@
 }
 
 /** The address at which a member accepts peer connections. */
-export function addressOf({id, host, port}: FleetMember): PeerAddress {
+export function peerAddressOf({id, host, port}: FleetMember): PeerAddress {
   return {id, host, port};
 }
--- a/src/fleet/store-feed.ts
+++ b/src/fleet/store-feed.ts
@@ -15,7 +15,7 @@
 import type {Clock} from '../infra/clock.js';
 import {
   HistoryGoneError,
-  type HandedOn,
+  type RelayFreshness,
   type LeasedStore,
 } from '../infra/leased-store.js';
 import type {StoredValue} from '../infra/store.js';
@@ -192,7 +192,7 @@
   /** A relayed answer is only as fresh as the copy of the watcher that sent it. */
   #recordConfirmation(
     sentAt: Instant,
-    {ageMs = 0, interruptedMsAgo}: HandedOn,
+    {ageMs = 0, interruptedMsAgo}: RelayFreshness,
   ): void {
     const confirmedAt = instantBefore(sentAt, ageMs);
     const known = this.#confirmedAt;
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -4,7 +4,11 @@
  * The primary certifies log positions: each proves that the position includes
  * every commit acknowledged before a given time. Reads at replicas use them.
  */
-import {OPEN_TEAM, type Catalog, type DatabaseEntry} from '../catalog/types.js';
+import {
+  ANONYMOUS_TEAM,
+  type Catalog,
+  type AnnouncedDatabase,
+} from '../catalog/types.js';
 import type {FailoverLease, FailoverOrders} from '../groups/failover-lease.js';
 import {Leadership} from '../groups/leadership.js';
 import {FailoverCoordinator} from '../groups/failover-coordinator.js';
@@ -110,7 +114,7 @@
     this.#lastUsedAt = clock.now();
     this.#transactions = new OpenTransactions<TeamConnection, OpenTransaction>({
       clock,
-      maxIdleMs: () => catalog().idleTransactionMs,
+      maxIdleMs: () => catalog().idleTransactionTimeoutMs,
       rollBack: connection =>
         connection.run([{kind: 'rollback'}], ROLL_BACK_TIMEOUT_MS),
       onIdleTimeout: ({sessionId}) =>
@@ -170,7 +174,7 @@
   }
 
   /** Adds a database or updates it from its announcement. */
-  applyDatabase(entry: DatabaseEntry): void {
+  applyDatabase(entry: AnnouncedDatabase): void {
     this.#missingSince.delete(entry.id);
     const known = this.#members.get(entry.id);
     const isSame =
@@ -277,7 +281,7 @@
 
   /** Callers without a key belong to no team and have no rate limit. */
   #admit({team}: StatementRequest): Promise<QuotaDecision> {
-    if (team === OPEN_TEAM) return Promise.resolve({kind: 'admitted'});
+    if (team === ANONYMOUS_TEAM) return Promise.resolve({kind: 'admitted'});
     return this.#options.quota.admit(team);
   }
 
@@ -303,7 +307,7 @@
       : NO_PRIMARY_RETRY_MS;
   }
 
-  #createMember(entry: DatabaseEntry): GroupMember {
+  #createMember(entry: AnnouncedDatabase): GroupMember {
     const {clock, connector, catalog} = this.#options;
     return new GroupMember(entry, {
       clock,
@@ -375,7 +379,7 @@
         return [...this.#members.values()].map(member => ({
           id: member.id,
           isDraining: member.entry.isDraining,
-          isSuspect: member.health.isSuspect,
+          isSuspect: member.health.needsProbe,
           visiblePosition: member.visiblePosition,
           queryState: () => member.queryStateOverNewConnection(),
           queryStateOnOpenConnection: () => member.queryState(),
--- a/src/home/certified-reads.ts
+++ b/src/home/certified-reads.ts
@@ -112,7 +112,7 @@
       );
       if (begun !== undefined) recordBegin(this.#ctx, member, begun, sentAt);
     } catch (err) {
-      member.health.noteFailure();
+      member.health.recordFailure();
       this.#ctx.log.info('certificateNotFetched', {
         group: this.#ctx.group,
         database: member.id,
@@ -278,7 +278,7 @@
       }
       return [...replies];
     } catch (err) {
-      member.health.noteFailure();
+      member.health.recordFailure();
       this.#ctx.log.info('readTryLost', {
         request: statement.requestId,
         database: member.id,
--- a/src/home/group-member.ts
+++ b/src/home/group-member.ts
@@ -1,6 +1,6 @@
 /** One database of a group at the group's home. */
-import type {DatabaseEntry} from '../catalog/types.js';
-import {WorkHealth} from '../membership/work-health.js';
+import type {AnnouncedDatabase} from '../catalog/types.js';
+import {PassiveHealth} from '../membership/work-health.js';
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import {laterPosition, type Position} from '../session/position.js';
@@ -35,9 +35,9 @@
 
 /** A database with its connection pool, health and last known log position. */
 export class GroupMember {
-  entry: DatabaseEntry;
+  entry: AnnouncedDatabase;
   readonly pool: ConnectionPool<TeamConnection, TeamSlotRequest>;
-  readonly health: WorkHealth;
+  readonly health: PassiveHealth;
   readonly connections: TeamConnections;
   readonly #options: GroupMemberOptions;
   readonly #running = new Set<TeamConnection>();
@@ -47,11 +47,11 @@
   #refusesUntil = -Infinity;
   #connectMs = INITIAL_CONNECT_MS;
 
-  constructor(entry: DatabaseEntry, options: GroupMemberOptions) {
+  constructor(entry: AnnouncedDatabase, options: GroupMemberOptions) {
     const {clock, weightOf} = options;
     this.entry = entry;
     this.#options = options;
-    this.health = new WorkHealth(clock);
+    this.health = new PassiveHealth(clock);
     this.connections = new TeamConnections({
       clock,
       limit: () => this.#connectionLimit(),
@@ -92,7 +92,7 @@
 
   /** Registers work sent to the database; call the result once it has ended. */
   trackWork(connection: TeamConnection): () => void {
-    const end = this.health.begin();
+    const end = this.health.trackRequest();
     this.#running.add(connection);
     return () => {
       end();
@@ -108,7 +108,7 @@
 
   /** Records that the database answered, and the position in its reply. */
   recordReply({position}: DatabaseReply): void {
-    this.health.noteAnswer();
+    this.health.recordAnswer();
     if (position === undefined) return;
     this.#visiblePosition = laterPosition(
       this.#visiblePosition ?? position,
@@ -174,7 +174,7 @@
     );
     try {
       const state = await connection.queryState();
-      this.health.noteAnswer();
+      this.health.recordAnswer();
       return state;
     } finally {
       cancel();
@@ -205,7 +205,7 @@
       const isFull =
         err instanceof TargetError && err.code === 'tooManyConnections';
       if (isFull) this.#refusesUntil = clock.now() + REFUSED_PAUSE_MS;
-      else this.health.noteFailure();
+      else this.health.recordFailure();
       throw err;
     }
   }
--- a/src/home/home-watch.ts
+++ b/src/home/home-watch.ts
@@ -6,7 +6,7 @@
  * new requests go to the next choice, and pings detect when the home answers
  * again, so that no request is spent on finding out.
  */
-import {WorkHealth} from '../membership/work-health.js';
+import {PassiveHealth} from '../membership/work-health.js';
 import type {PeerAddress, PeerCaller} from '../peers/types.js';
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
@@ -34,7 +34,7 @@
 
 interface MonitoredHome {
   readonly address: PeerAddress;
-  readonly health: WorkHealth;
+  readonly health: PassiveHealth;
   readonly running: Set<AbortController>;
   isSilent: boolean;
 }
@@ -67,15 +67,15 @@
     const abort = () => stop.abort();
     signal.addEventListener('abort', abort, {once: true});
     monitored.running.add(stop);
-    const endWork = monitored.health.begin();
+    const endWork = monitored.health.trackRequest();
     return {
       signal: stop.signal,
       end: outcome => {
         endWork();
         monitored.running.delete(stop);
         signal.removeEventListener('abort', abort);
-        if (outcome === 'answered') monitored.health.noteAnswer();
-        if (outcome === 'failed') monitored.health.noteFailure();
+        if (outcome === 'answered') monitored.health.recordAnswer();
+        if (outcome === 'failed') monitored.health.recordFailure();
         if (monitored.health.failures > 0) this.#markSilent(monitored);
       },
     };
@@ -100,7 +100,7 @@
     if (known !== undefined && isSame) return known;
     const monitored: MonitoredHome = {
       address,
-      health: new WorkHealth(this.#options.clock),
+      health: new PassiveHealth(this.#options.clock),
       running: new Set(),
       isSilent: false,
     };
@@ -133,7 +133,7 @@
           {},
           {timeoutMs: PING_TIMEOUT_MS},
         );
-        health.noteAnswer();
+        health.recordAnswer();
         monitored.isSilent = false;
         log.info('homeAnswers', {home: address.id});
         return;
--- a/src/home/primary-writes.ts
+++ b/src/home/primary-writes.ts
@@ -78,7 +78,7 @@
       return await this.#write(attempt, member, slot);
     } catch (err) {
       slot.release();
-      member.health.noteFailure();
+      member.health.recordFailure();
       const verdict = connectionVerdict(err, member.id);
       if (verdict.kind === 'notRun') return {result: undefined, verdict};
       return {result: failedStatement(verdict)};
@@ -130,7 +130,7 @@
       const verdict = connectionVerdict(err, member.id);
       if (attempt.req.commits) throw err;
       slot.release();
-      member.health.noteFailure();
+      member.health.recordFailure();
       return {result: failedStatement(rolledBackVerdict(verdict), 'failed')};
     }
     return this.#finishOpening(attempt, member, slot, reply);
--- a/src/home/statement-homes.ts
+++ b/src/home/statement-homes.ts
@@ -1,5 +1,5 @@
 /** Opens, serves and closes the certified homes on this node. */
-import type {Catalog, DatabaseEntry} from '../catalog/types.js';
+import type {Catalog, AnnouncedDatabase} from '../catalog/types.js';
 import type {Clock} from '../infra/clock.js';
 import {runAtTicks} from '../infra/timer.js';
 import type {PeerHandler} from '../peers/types.js';
@@ -26,7 +26,7 @@
 > {
   readonly clock: Clock;
   readonly catalog: () => Catalog;
-  readonly entries: () => Iterable<DatabaseEntry>;
+  readonly entries: () => Iterable<AnnouncedDatabase>;
   readonly isFirstHome: (group: string) => boolean;
   /** Returns the node that serves a group's reads in a data centre. */
   readonly readerIn: (group: string, dataCentre: string) => string | undefined;
@@ -102,7 +102,7 @@
   }
 
   /** Applies a database's announcement; undefined if it is gone. */
-  applyDatabase(id: string, entry: DatabaseEntry | undefined): void {
+  applyDatabase(id: string, entry: AnnouncedDatabase | undefined): void {
     for (const [group, home] of this.#homes) {
       // The database may have moved to another group under the same id.
       if (group === entry?.group) home.applyDatabase(entry);
--- a/src/home/transaction-statements.ts
+++ b/src/home/transaction-statements.ts
@@ -61,7 +61,7 @@
     } catch (err) {
       slot.connection.close();
       slot.release();
-      member.health.noteFailure();
+      member.health.recordFailure();
       const verdict = connectionVerdict(err, member.id);
       if (req.commits && verdict.kind === 'mayHaveRun') {
         return failedStatement(verdict);
--- a/src/index.ts
+++ b/src/index.ts
@@ -56,9 +56,9 @@
   FairQueue,
   type FairQueueOptions,
   type OfferResult,
-  type Taken,
+  type TakenItem,
   type WorkClass,
-  type WorkOrder,
+  type SchedulingParams,
 } from './admission/fair-queue.js';
 
 /** Positions in a database group's log, ordered by term first. */
@@ -297,4 +297,4 @@
 export type {FleetMember} from './fleet/member-record.js';
 
 /** Whether a database or node answers, judged from the work itself. */
-export {WorkHealth} from './membership/work-health.js';
+export {PassiveHealth} from './membership/work-health.js';
--- a/src/infra/leased-store.ts
+++ b/src/infra/leased-store.ts
@@ -2,7 +2,7 @@
 import type {StoredValue, SwapResult, WatchEvent} from './store.js';
 
 /** Age of an answer that another node relayed from the store. */
-export interface HandedOn {
+export interface RelayFreshness {
   /** Age of the answer when it was relayed, in milliseconds. */
   readonly ageMs?: number | undefined;
   /** Time since the relaying node last failed to read the store, if ever. */
@@ -10,7 +10,7 @@
 }
 
 /** Changes under a prefix, complete up to a revision. */
-export interface ChangeSet extends HandedOn {
+export interface ChangeSet extends RelayFreshness {
   readonly events: readonly WatchEvent[];
   /** All changes up to this revision are included. */
   readonly asOf: number;
@@ -24,7 +24,7 @@
 }
 
 /** All keys under a prefix. */
-export interface Snapshot extends HandedOn {
+export interface Snapshot extends RelayFreshness {
   readonly values: readonly StoredValue[];
   /** Revision at which the first page was read. */
   readonly asOf: number;
@@ -55,7 +55,7 @@
   grant(ttlMs: number): Promise<Lease>;
   /** Renews a lease; false if it has ended. */
   renew(lease: string): Promise<boolean>;
-  end(lease: string): Promise<void>;
+  revoke(lease: string): Promise<void>;
 }
 
 /** The store no longer keeps the requested changes; list the keys again. */
--- a/src/membership/coordination.ts
+++ b/src/membership/coordination.ts
@@ -1,7 +1,7 @@
 /** Assembles a node's cluster membership, document replication and standing. */
 
 import {randomUUID} from 'node:crypto';
-import type {FreshPeerCaller} from '../peers/peer-pool.js';
+import type {PeerConnector} from '../peers/peer-pool.js';
 import type {PeerHandler} from '../peers/types.js';
 import type {Clock, Random} from '../infra/clock.js';
 import type {Store} from '../infra/store.js';
@@ -29,7 +29,7 @@
   /** This node's own VM. */
   readonly self: VmRecord;
   readonly store: Store;
-  readonly caller: FreshPeerCaller;
+  readonly caller: PeerConnector;
   readonly clock: Clock;
   readonly random: Random;
   /** Identifies this process; by default a random id for each start. */
@@ -46,7 +46,7 @@
 /** Runs a node's membership protocol, gossip exchange and store watch. */
 export class Coordination {
   readonly documents = new Documents();
-  readonly contact: StoreContact;
+  readonly storeContact: StoreContact;
   readonly members: Members;
   readonly standing: StandingMonitor;
   /** Peer methods that this node's peer server must serve. */
@@ -63,10 +63,10 @@
   constructor(options: CoordinationOptions) {
     const {self, clock, standingLimitMs: limitMs} = options;
     this.#options = options;
-    this.contact = new StoreContact(clock);
+    this.storeContact = new StoreContact(clock);
     const instance = options.instance ?? randomUUID().slice(0, 8);
     this.members = new Members({self, instance, clock});
-    const {contact, documents, members} = this;
+    const {storeContact: contact, documents, members} = this;
     this.standing = new StandingMonitor({contact, members, limitMs});
     // Registered before dissemination, so that the first push already has
     // the listed VMs as receivers.
--- a/src/membership/exchange-sections.ts
+++ b/src/membership/exchange-sections.ts
@@ -147,7 +147,7 @@
   accept(given: unknown, elapsedMs: number, from: string): void {
     const content = parseMembersContent(given);
     if (content === undefined) return;
-    this.#members.applyAnswer(from, content.self, elapsedMs);
+    this.#members.applySelfReport(from, content.self, elapsedMs);
     content.deltas.forEach(delta => this.#members.applyDelta(delta));
   }
 
--- a/src/membership/exchange.ts
+++ b/src/membership/exchange.ts
@@ -1,6 +1,6 @@
 /** Gossip anti-entropy: pairs of nodes compare state and send what is missing. */
 
-import type {FreshPeerCaller, PeerSession} from '../peers/peer-pool.js';
+import type {PeerConnector, DedicatedConnection} from '../peers/peer-pool.js';
 import type {PeerHandler} from '../peers/types.js';
 import type {Clock, Random} from '../infra/clock.js';
 import {elapsedSince, takeInstant, type Instant} from './elapsed.js';
@@ -57,7 +57,7 @@
 /** Dependencies of {@link Exchange}. */
 export interface ExchangeOptions {
   readonly members: Members;
-  readonly caller: FreshPeerCaller;
+  readonly caller: PeerConnector;
   readonly clock: Clock;
   readonly random: Random;
   readonly sections: readonly ExchangeSection[];
@@ -109,7 +109,7 @@
       return this.#exchange(partner.id, {call, close: () => {}});
     }
     const limit = {timeoutMs: EXCHANGE_TIMEOUT_MS};
-    const session = await caller.openFresh(address, limit);
+    const session = await caller.openDedicated(address, limit);
     try {
       await this.#exchange(partner.id, session);
     } finally {
@@ -117,7 +117,10 @@
     }
   }
 
-  async #exchange(partnerId: string, session: PeerSession): Promise<void> {
+  async #exchange(
+    partnerId: string,
+    session: DedicatedConnection,
+  ): Promise<void> {
     const {clock} = this.#options;
     const limit = {timeoutMs: EXCHANGE_TIMEOUT_MS};
     const start = takeInstant(clock);
--- a/src/membership/members.ts
+++ b/src/membership/members.ts
@@ -158,7 +158,7 @@
   }
 
   /** Applies the identity that a VM itself reported at most `ageMs` ago. */
-  applyAnswer(id: string, identity: MemberIdentity, ageMs: number): void {
+  applySelfReport(id: string, identity: MemberIdentity, ageMs: number): void {
     const vm = this.#vms.get(id);
     if (vm === undefined) return;
     this.#heard.recordContact(id, ageMs);
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -3,8 +3,8 @@
  * indirect probes through other nodes have failed too.
  */
 
-import {callFresh} from '../peers/call-fresh.js';
-import type {FreshPeerCaller} from '../peers/peer-pool.js';
+import {callOnNewConnection} from '../peers/call-fresh.js';
+import type {PeerConnector} from '../peers/peer-pool.js';
 import {PeerError, type PeerHandler} from '../peers/types.js';
 import type {Clock, Random} from '../infra/clock.js';
 import {elapsedSince, takeInstant} from './elapsed.js';
@@ -40,7 +40,7 @@
 export interface ProberOptions {
   readonly members: Members;
   readonly contact: StoreContact;
-  readonly caller: FreshPeerCaller;
+  readonly caller: PeerConnector;
   readonly clock: Clock;
   readonly random: Random;
 }
@@ -152,7 +152,7 @@
   async #probeFresh(vm: Member): Promise<unknown> {
     const {caller, clock} = this.#options;
     const start = takeInstant(clock);
-    const answer = await callFresh(
+    const answer = await callOnNewConnection(
       caller,
       toPeerAddress(vm),
       METHOD_PROBE,
@@ -194,7 +194,7 @@
     if (answer === undefined) return;
     const {storeAgeMs, ...identity} = answer;
     const {contact, members} = this.#options;
-    members.applyAnswer(id, identity, elapsedMs);
+    members.applySelfReport(id, identity, elapsedMs);
     if (storeAgeMs !== undefined) contact.recordContact(storeAgeMs + elapsedMs);
   }
 
--- a/src/membership/work-health.ts
+++ b/src/membership/work-health.ts
@@ -16,7 +16,7 @@
 const MAX_BACKOFF_MS = 800;
 
 /** Tracks outstanding requests, answers and failures of one endpoint. */
-export class WorkHealth {
+export class PassiveHealth {
   readonly #clock: Clock;
   readonly #startedAt = new Set<{readonly at: number}>();
   #lastAnswerAt: number;
@@ -39,7 +39,7 @@
   }
 
   /** Whether an active probe is needed. */
-  get isSuspect(): boolean {
+  get needsProbe(): boolean {
     return this.#failures > 0 || this.silentMs >= MAX_SILENCE_MS;
   }
 
@@ -51,21 +51,21 @@
   }
 
   /** Records a sent request; call the returned function when the request ends. */
-  begin(): () => void {
+  trackRequest(): () => void {
     const started = {at: this.#clock.now()};
     this.#startedAt.add(started);
     return () => this.#startedAt.delete(started);
   }
 
   /** Records an answer of any kind. */
-  noteAnswer(): void {
+  recordAnswer(): void {
     this.#lastAnswerAt = this.#clock.now();
     this.#failures = 0;
     this.#retryAt = -Infinity;
   }
 
   /** Records a refused or lost connection or a request without an answer. */
-  noteFailure(): void {
+  recordFailure(): void {
     // One failure among recent answers doesn't mean that the endpoint is down.
     if (this.#clock.now() - this.#lastAnswerAt < RECENT_ANSWER_MS) return;
     const backoffMs = Math.min(
--- a/src/node/admin-routes.ts
+++ b/src/node/admin-routes.ts
@@ -72,7 +72,7 @@
     config: config.document.version,
     revisions: coordination.documents.digest(),
     standing: coordination.standing.evaluate(),
-    storeAgeMs: finite(coordination.contact.ageMs()),
+    storeAgeMs: finite(coordination.storeContact.ageMs()),
     isWatcher: coordination.isWatcher,
   };
 }
--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -1,5 +1,5 @@
 /** The team budgets at one node: its part as a holder, and as an owner. */
-import {addressOf} from '../fleet/member-list.js';
+import {peerAddressOf} from '../fleet/member-list.js';
 import type {MemberLease} from '../fleet/member-lease.js';
 import type {HomeMonitor} from '../home/home-watch.js';
 import type {Clock} from '../infra/clock.js';
@@ -60,7 +60,7 @@
       clock,
       log,
       limits,
-      ask: req => this.#ask(req),
+      requestTokens: req => this.#ask(req),
     });
   }
 
@@ -98,7 +98,7 @@
     const owner = places.firstAnswering(places.budgetOrder(req.team));
     if (owner === undefined) throw new Error('no node owns budgets yet');
     if (owner.id === self) return this.#owner.serve(self, req);
-    const address = addressOf(owner);
+    const address = peerAddressOf(owner);
     const watched = watch.begin(address, signal);
     const options = {timeoutMs: TIMEOUT_MS};
     try {
--- a/src/node/node-picture.ts
+++ b/src/node/node-picture.ts
@@ -3,7 +3,7 @@
 import {
   EMPTY_CATALOG,
   type Catalog,
-  type DatabaseEntry,
+  type AnnouncedDatabase,
 } from '../catalog/types.js';
 import {FeedRelay} from '../fleet/feed-relay.js';
 import {MemberList} from '../fleet/member-list.js';
@@ -27,7 +27,7 @@
       readonly kind: 'database';
       readonly id: string;
       /** Undefined where it is gone or can't be read. */
-      readonly entry: DatabaseEntry | undefined;
+      readonly entry: AnnouncedDatabase | undefined;
     };
 
 /** What a picture is built from. */
@@ -39,7 +39,10 @@
   /** Decodes a change of the store; undefined where it concerns others. */
   readonly decode: (change: FeedChange) => CatalogChange | undefined;
   /** Called where a database announced something new, or is gone. */
-  readonly onDatabase: (id: string, entry: DatabaseEntry | undefined) => void;
+  readonly onDatabase: (
+    id: string,
+    entry: AnnouncedDatabase | undefined,
+  ) => void;
 }
 
 /**
@@ -54,7 +57,7 @@
   /** Hands what this node knows on to others. */
   readonly relay: FeedRelay;
   readonly #options: NodePictureOptions;
-  readonly #entries = new Map<string, DatabaseEntry>();
+  readonly #entries = new Map<string, AnnouncedDatabase>();
   /** Processes of other nodes that were listed when this one started. */
   readonly #earlier = new Map<string, string>();
   #catalog: Catalog = EMPTY_CATALOG;
@@ -82,7 +85,7 @@
   }
 
   /** The databases that are announced. */
-  get entries(): Iterable<DatabaseEntry> {
+  get entries(): Iterable<AnnouncedDatabase> {
     return this.#entries.values();
   }
 
@@ -102,7 +105,7 @@
   }
 
   #apply(change: FeedChange): void {
-    if (this.#isNews(change)) this.relay.note(change);
+    if (this.#isNews(change)) this.relay.recordChange(change);
   }
 
   /** Takes a change; false where it says nothing new. */
--- a/src/node/node-places.ts
+++ b/src/node/node-places.ts
@@ -1,6 +1,6 @@
 /** Where the work of a group, a team's budget or the store's changes is. */
 import type {Consistency} from '../catalog/types.js';
-import {addressOf} from '../fleet/member-list.js';
+import {peerAddressOf} from '../fleet/member-list.js';
 import type {FleetMember} from '../fleet/member-record.js';
 import {chooseWatchers, orderWatchers} from '../fleet/watchers.js';
 import type {HomeMonitor} from '../home/home-watch.js';
@@ -61,7 +61,7 @@
     const isRead = kind === 'read' || opens === 'readOnly';
     const {dataCentre} = this.#options;
     const reader = this.#readerFor(group, dataCentre, isRead, consistency);
-    return reader && addressOf(reader);
+    return reader && peerAddressOf(reader);
   }
 
   /** Nodes in order of preference as the owner of a team's budget. */
@@ -76,7 +76,7 @@
     if (watchers.some(one => one.id === id)) return [];
     return orderWatchers(watchers, {id, dataCentre})
       .filter(one => !watch.isSilent(one.id))
-      .map(addressOf);
+      .map(peerAddressOf);
   }
 
   /** The first of an order that gives signs of life to this node. */
--- a/src/node/renewable-budgets.ts
+++ b/src/node/renewable-budgets.ts
@@ -81,8 +81,10 @@
     // One more, as the owner may be any of them and is no standby.
     const choices = this.#options.choicesOf(MAX_STANDBYS + 1);
     const teams = [...choices.keys()];
-    this.#service.standBy(teams);
-    return this.#service.prepare(teams.filter(team => choices.get(team) === 0));
+    this.#service.setStandbyTeams(teams);
+    return this.#service.ensureOwners(
+      teams.filter(team => choices.get(team) === 0),
+    );
   }
 
   /** The table and the list of VMs change, so this is repeated. */
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -3,7 +3,7 @@
 import {setMaxListeners} from 'node:events';
 import type {Route} from '../catalog/types.js';
 import {MemberLease} from '../fleet/member-lease.js';
-import {addressOf} from '../fleet/member-list.js';
+import {peerAddressOf} from '../fleet/member-list.js';
 import type {FleetMember} from '../fleet/member-record.js';
 import {RELAY_METHOD} from '../fleet/feed-relay.js';
 import {RelayedStore} from '../fleet/relayed-store.js';
@@ -352,11 +352,11 @@
         local: this.#homes,
         method: STATEMENT_METHODS.run,
         codec: {encode: encodeRequest, decode: decodeResult},
-        homeOrder: group => this.#places.homeOrder(group).map(addressOf),
+        homeOrder: group => this.#places.homeOrder(group).map(peerAddressOf),
         readerOf: req => this.#places.readerOf(req),
         findNode: node => {
           const member = this.#picture.members.find(node);
-          return member && addressOf(member);
+          return member && peerAddressOf(member);
         },
         failed: verdict => failedStatement(verdict),
         watch: this.#watch,
@@ -380,7 +380,7 @@
     const body = {group, pin: local};
     const options = {timeoutMs: RELEASE_TIMEOUT_MS};
     this.#peers
-      .call(addressOf(member), STATEMENT_METHODS.release, body, options)
+      .call(peerAddressOf(member), STATEMENT_METHODS.release, body, options)
       .catch((err: unknown) =>
         // The home rolls it back by itself once it stood idle for too long.
         this.#options.log.warn('releaseNotDelivered', {
--- a/src/peers/call-fresh.ts
+++ b/src/peers/call-fresh.ts
@@ -1,6 +1,6 @@
 /** Calls over a connection that is opened for a single call. */
 
-import type {FreshPeerCaller} from './peer-pool.js';
+import type {PeerConnector} from './peer-pool.js';
 import type {CallOptions, PeerAddress} from './types.js';
 
 /**
@@ -11,14 +11,14 @@
  * @example
  * await callOnNewConnection(pool, address, 'membership.probe', {}, {timeoutMs: 500});
  */
-export async function callFresh(
-  caller: FreshPeerCaller,
+export async function callOnNewConnection(
+  caller: PeerConnector,
   to: PeerAddress,
   method: string,
   body: unknown,
   options: CallOptions,
 ): Promise<unknown> {
-  const session = await caller.openFresh(to, options);
+  const session = await caller.openDedicated(to, options);
   try {
     return await session.call(method, body, options);
   } finally {
--- a/src/peers/peer-pool.ts
+++ b/src/peers/peer-pool.ts
@@ -24,7 +24,7 @@
 export type ConnectOptions = Pick<CallOptions, 'timeoutMs' | 'signal'>;
 
 /** A connection outside the pool; its opener must close it. */
-export interface PeerSession {
+export interface DedicatedConnection {
   call(method: string, body: unknown, options: CallOptions): Promise<unknown>;
   close(): void;
 }
@@ -33,9 +33,12 @@
  * Can also open dedicated connections, which tell whether a node is reachable
  * even if its pooled connection is broken.
  */
-export interface FreshPeerCaller extends PeerCaller {
+export interface PeerConnector extends PeerCaller {
   /** Opens a new connection besides the pooled one; rejects with `notSent`. */
-  openFresh(to: PeerAddress, options: ConnectOptions): Promise<PeerSession>;
+  openDedicated(
+    to: PeerAddress,
+    options: ConnectOptions,
+  ): Promise<DedicatedConnection>;
 }
 
 /** Options of a {@link PeerPool}. */
@@ -57,7 +60,7 @@
 }
 
 /** The outgoing connections of one node. */
-export class PeerPool implements FreshPeerCaller {
+export class PeerPool implements PeerConnector {
   readonly #clock: Clock;
   readonly #idleCloseMs: number;
   readonly #connectionOptions: Omit<ClientConnectionOptions, 'peer'>;
@@ -128,10 +131,10 @@
     );
   }
 
-  async openFresh(
+  async openDedicated(
     to: PeerAddress,
     options: ConnectOptions,
-  ): Promise<PeerSession> {
+  ): Promise<DedicatedConnection> {
     this.#checkOpen();
     const opening = ClientConnection.open({
       ...this.#connectionOptions,
--- a/src/quota/budget-holder.ts
+++ b/src/quota/budget-holder.ts
@@ -45,7 +45,7 @@
   readonly log: Logger;
   readonly limits: (team: string) => RateLimits | undefined;
   /** Requests tokens from the budget's owner; rejects if it can't be reached. */
-  readonly ask: (req: TokenRequest) => Promise<TokenReply>;
+  readonly requestTokens: (req: TokenRequest) => Promise<TokenReply>;
 }
 
 /** The state of one team's budget at this holder. */
@@ -151,14 +151,14 @@
   }
 
   async #exchangeWithOwner(team: string, held: TeamState): Promise<void> {
-    const {clock, log, ask} = this.#options;
+    const {clock, log, requestTokens} = this.#options;
     const wanted = Math.ceil(
       Math.max(0, this.#prefetchTokens(held) - held.tokens) + held.waiting,
     );
     let reply: TokenReply;
     const sentAtMs = clock.now();
     try {
-      reply = await ask({team, wanted: Math.max(1, wanted)});
+      reply = await requestTokens({team, wanted: Math.max(1, wanted)});
     } catch (err) {
       // `admit` refuses the operation or uses the fallback bucket.
       log.info('budgetOwnerUnreachable', {
--- a/src/quota/budget-owner.ts
+++ b/src/quota/budget-owner.ts
@@ -85,7 +85,7 @@
     return {
       kind: 'granted',
       tokens,
-      retryAfterMs: Math.max(MIN_RETRY_MS, Math.ceil(budget.msUntilOne())),
+      retryAfterMs: Math.max(MIN_RETRY_MS, Math.ceil(budget.msUntilToken())),
       share: shareOf(owned.granted, holder),
     };
   }
@@ -117,7 +117,7 @@
       limits: size,
       windowMs,
       tokens: Math.min(size.burst, accrued),
-      completeFrom: clock.now() + windowMs - heldMs,
+      historyCompleteAtMs: clock.now() + windowMs - heldMs,
     });
     const owned = {budget, granted: new Map(), halvedAtMs: clock.now()};
     this.#owned.set(team, owned);
--- a/src/quota/window-budget.ts
+++ b/src/quota/window-budget.ts
@@ -32,7 +32,7 @@
    * Monotonic time from which the window contains only grants that this budget
    * has counted itself. Until then it refills at the rate alone.
    */
-  readonly completeFrom: number;
+  readonly historyCompleteAtMs: number;
 }
 
 /**
@@ -54,10 +54,10 @@
   #grantedInWindow = 0;
 
   constructor(options: WindowBudgetOptions) {
-    const {clock, limits, windowMs, tokens, completeFrom} = options;
+    const {clock, limits, windowMs, tokens, historyCompleteAtMs} = options;
     this.#clock = clock;
     this.#windowMs = windowMs;
-    this.#historyCompleteAtMs = completeFrom;
+    this.#historyCompleteAtMs = historyCompleteAtMs;
     this.#limits = limits;
     this.#bucket = new TokenBucket(clock, this.#bucketSize(), tokens);
   }
@@ -80,7 +80,7 @@
   }
 
   /** Milliseconds until one token is available. */
-  msUntilOne(): number {
+  msUntilToken(): number {
     this.#refresh();
     const [oldest] = this.#granted;
     const isFull = this.#remainingInWindow < 1 && oldest !== undefined;
--- a/src/rollout/editor.ts
+++ b/src/rollout/editor.ts
@@ -129,7 +129,12 @@
       case 'refused':
         return {kind: 'refused', reason: result.message};
       case 'conflict':
-        return createConflict(document, result.row, result.version, identity);
+        return createConflictResult(
+          document,
+          result.row,
+          result.version,
+          identity,
+        );
       case 'changed': {
         const next = result.document.withEdit({
           ...identity,
@@ -205,7 +210,7 @@
 }
 
 /** The result of an edit whose row another operator changed. */
-export function createConflict(
+export function createConflictResult(
   document: ConfigDocument,
   row: RowRef,
   version: number,
--- a/src/rollout/table-cells.ts
+++ b/src/rollout/table-cells.ts
@@ -62,7 +62,7 @@
 }
 
 /** The column of a row property, for messages. */
-export function resolveCsvColumn(property: string): string {
+export function csvColumnOf(property: string): string {
   const column = CSV_COLUMNS.find(name => COLUMNS[name] === property);
   return column ?? property;
 }
--- a/src/rollout/table-csv.ts
+++ b/src/rollout/table-csv.ts
@@ -8,7 +8,7 @@
   formatCells,
   isCsvColumn,
   parseCells,
-  resolveCsvColumn,
+  csvColumnOf,
 } from './table-cells.js';
 import {
   createTable,
@@ -144,7 +144,7 @@
     if (!(err instanceof TableError)) throw err;
     const rowFaults = err.faults.map(fault => ({
       ...fault,
-      column: resolveCsvColumn(fault.column),
+      column: csvColumnOf(fault.column),
     }));
     const faults = [...formatFaults, ...rowFaults];
     throw new TableError(faults.sort((a, b) => lineOf(a) - lineOf(b)));
--- a/src/sessions/access.ts
+++ b/src/sessions/access.ts
@@ -1,5 +1,5 @@
 /** Authorizes sessions by the current catalog and by how old it may be. */
-import {OPEN_TEAM, type Catalog, type Route} from '../catalog/types.js';
+import {ANONYMOUS_TEAM, type Catalog, type Route} from '../catalog/types.js';
 import {notRun, type NotRun} from '../verdict/verdict.js';
 
 const STALE_RETRY_MS = 500;
@@ -75,7 +75,7 @@
     });
     const isStale = version === 0 || basis.ageMs > keyLimitMs;
     const route = routes.get(database);
-    if (isStale && (route === undefined || !route.isOpen)) {
+    if (isStale && (route === undefined || !route.allowsAnonymous)) {
       const message =
         'this node can not prove that its configuration is the newest';
       return refused(notRun('cutOff', message, STALE_RETRY_MS));
@@ -88,7 +88,8 @@
     if (team !== undefined && teams.has(team)) {
       return {kind: 'granted', route, team};
     }
-    if (route.isOpen) return {kind: 'granted', route, team: OPEN_TEAM};
+    if (route.allowsAnonymous)
+      return {kind: 'granted', route, team: ANONYMOUS_TEAM};
     const message = `the key is not valid for database "${database}"`;
     return refused(notRun('notAuthorised', message));
   }
--- a/src/sessions/statement-session.ts
+++ b/src/sessions/statement-session.ts
@@ -18,7 +18,7 @@
 } from '../statements/types.js';
 import type {TransactionStatus} from '../targets/types.js';
 import type {Logger} from '../telemetry/log.js';
-import type {StatementEnd} from '../telemetry/node-metrics.js';
+import type {FinishedStatement} from '../telemetry/node-metrics.js';
 import {notRun, type Verdict} from '../verdict/verdict.js';
 import type {AccessDecision, AccessGate, Credentials} from './access.js';
 
@@ -56,7 +56,7 @@
   /** Requests the rollback of a transaction at its home. */
   readonly release: (group: string, pin: string) => void;
   /** Records a finished statement in the metrics. */
-  readonly observe: (end: StatementEnd) => void;
+  readonly observe: (end: FinishedStatement) => void;
   /** Scheduling class of a route's statements. */
   readonly priorityOf: (route: Route) => Priority;
 }
--- a/src/telemetry/bounded-log.ts
+++ b/src/telemetry/bounded-log.ts
@@ -23,7 +23,7 @@
  * @example
  * const log = new RateLimitedLogger(createLogger('info'), () => performance.now());
  */
-export class BoundedLogger extends BaseLogger {
+export class RateLimitedLogger extends BaseLogger {
   readonly #inner: Logger;
   readonly #now: () => number;
   readonly #windows: Map<string, EventWindow>;
@@ -40,7 +40,7 @@
   }
 
   with(fields: LogFields): Logger {
-    return new BoundedLogger(
+    return new RateLimitedLogger(
       this.#inner.with(fields),
       this.#now,
       this.#windows,
--- a/src/telemetry/node-metrics.ts
+++ b/src/telemetry/node-metrics.ts
@@ -9,7 +9,7 @@
 const METRICS_PATH = '/metrics';
 
 /** A finished statement. */
-export interface StatementEnd {
+export interface FinishedStatement {
   readonly group: string;
   readonly kind: 'read' | 'write';
   /** `done`, the reason of any other verdict, or the database's error code. */
@@ -58,13 +58,13 @@
   }
 
   /** Counts a statement; records its latency only if its outcome is `done`. */
-  observe({group, kind, outcome, elapsedMs}: StatementEnd): void {
+  observe({group, kind, outcome, elapsedMs}: FinishedStatement): void {
     this.#statements.inc({group, kind, outcome});
     if (outcome === 'done') this.#latency.observe({kind}, elapsedMs / 1_000);
   }
 
   /** Registers the gauges, which are read at each scrape. */
-  expose(gauges: NodeGauges): void {
+  registerGauges(gauges: NodeGauges): void {
     const add = (name: string, help: string, read: () => number) =>
       new Gauge({
         name,
