--- a/bench/admission.ts
+++ b/bench/admission.ts
@@ -4,7 +4,7 @@
 import {TokenBucket} from '../src/admission/token-bucket.js';
 import {AdaptiveLimit} from '../test/admission/adaptive-limit.js';
 import {Cluster} from '../test/admission/cluster.js';
-import {worstExcess} from '../test/admission/law.js';
+import {worstExcess} from '../test/admission/conservation-invariant.js';
 import {ManualClock} from '../test/admission/manual-clock.js';
 import {createRandom} from '../test/admission/random.js';
 import {runSlotModel, type LimitModel} from '../test/admission/slot-model.js';
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -5,7 +5,7 @@
 import yargs from 'yargs';
 import {Fleet} from '../demo/fleet.js';
 import {TASMAN, type Profile} from '../demo/profiles.js';
-import type {StatementKind} from '../src/telemetry/metrics.js';
+import type {StatementKind} from '../src/telemetry/statement-metrics.js';
 import {formatTable} from './figures.js';
 
 const GROUP = 'members';
--- a/demo/measures.ts
+++ b/demo/measures.ts
@@ -1,5 +1,5 @@
 /** The four measures of the brief, from the clients' own record. */
-import type {StatementKind} from '../src/telemetry/metrics.js';
+import type {StatementKind} from '../src/telemetry/statement-metrics.js';
 import type {Fleet} from './fleet.js';
 import type {TeamProfile} from './profiles.js';
 import type {LoadRecord} from './record.js';
--- a/src/admission/remote-spender.ts
+++ b/src/admission/remote-spender.ts
@@ -2,7 +2,7 @@
 
 import type {Clock} from '../infra/clock.js';
 import {AvoidedNodes} from './avoided-nodes.js';
-import {SPEND_VALID_MS} from './remote-spends.js';
+import {SPEND_VALID_MS} from './in-flight-spends.js';
 import type {BudgetPeers, SpendMessage} from './types.js';
 
 /** Maximum number of nodes that one round asks, one after the other. */
--- a/src/admission/team-budget.ts
+++ b/src/admission/team-budget.ts
@@ -14,7 +14,7 @@
 import {SyncSchedule} from './sync-schedule.js';
 import {TeamHolder, type SyncContext, type SyncPurpose} from './team-holder.js';
 import type {TeamOwner} from './team-owner.js';
-import {TokenAcquirer} from './token-supply.js';
+import {TokenAcquirer} from './token-acquirer.js';
 import type {
   Admission,
   BudgetDeps,
--- a/src/admission/team-holder.ts
+++ b/src/admission/team-holder.ts
@@ -10,7 +10,7 @@
   tokensIn,
   unitsFor,
 } from './share.js';
-import {InFlightSpends} from './remote-spends.js';
+import {InFlightSpends} from './in-flight-spends.js';
 import type {SpendGuard} from './spend-guard.js';
 import {TokenBucket, type BucketSize} from './token-bucket.js';
 import type {
--- a/src/callers/statement-runner.ts
+++ b/src/callers/statement-runner.ts
@@ -4,7 +4,7 @@
 import {failedResult, type ExecResult} from '../home/types.js';
 import type {Classification, Statement} from '../routing/statement.js';
 import type {Position} from '../session/position.js';
-import type {StatementKind} from '../telemetry/metrics.js';
+import type {StatementKind} from '../telemetry/statement-metrics.js';
 import type {TransactionStatus} from '../targets/types.js';
 import {notRun, type NotRun} from '../verdict/verdict.js';
 import type {Authority, SessionDeps} from './types.js';
--- a/src/callers/types.ts
+++ b/src/callers/types.ts
@@ -5,7 +5,7 @@
 import type {Classifier} from '../routing/classify.js';
 import type {TokenSigner} from '../session/token-signer.js';
 import type {Logger} from '../telemetry/log.js';
-import type {StatementSample} from '../telemetry/metrics.js';
+import type {StatementSample} from '../telemetry/statement-metrics.js';
 import type {NotRun} from '../verdict/verdict.js';
 
 /** The team and database group for which a session was authenticated. */
--- a/src/cli/report-options.ts
+++ b/src/cli/report-options.ts
@@ -1,6 +1,6 @@
 /** Parsing and validation of the options of `zinnia report burn`. */
 import type {BurnWindow} from '../telemetry/burn-report.js';
-import {RETENTION_MS, SLICE_MS} from '../telemetry/metrics.js';
+import {RETENTION_MS, SLICE_MS} from '../telemetry/statement-metrics.js';
 import type {ServiceObjective} from '../telemetry/service-level.js';
 import {CommandError} from './context.js';
 import {parseDuration} from './durations.js';
--- a/src/cli/report-statements.ts
+++ b/src/cli/report-statements.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import type {VmRecord} from '../infra/vm-list.js';
 import type {VmStatements} from '../telemetry/burn-report.js';
-import {STATEMENT_KINDS} from '../telemetry/metrics.js';
+import {STATEMENT_KINDS} from '../telemetry/statement-metrics.js';
 
 const REQUEST_TIMEOUT_MS = 3_000;
 const MAX_PARALLEL_REQUESTS = 50;
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -20,7 +20,7 @@
 import type {StatementConnector} from '../statements/connection.js';
 import type {Logger} from '../telemetry/log.js';
 import {notRun, type Verdict} from '../verdict/verdict.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import {CertifiedReads} from './certified-reads.js';
 import {GroupMember} from './group-member.js';
 import type {HomeContext} from './home-context.js';
--- a/src/home/certified-reads.ts
+++ b/src/home/certified-reads.ts
@@ -9,7 +9,7 @@
 import type {DatabaseCommand, DatabaseReply} from '../statements/types.js';
 import {placeRead} from '../routing/read-placement.js';
 import {notRun, type NotRun, type Verdict} from '../verdict/verdict.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
 import type {Slot} from './connection-pool.js';
--- a/src/home/group-member.ts
+++ b/src/home/group-member.ts
@@ -1,13 +1,13 @@
 /** One database of a group at the group's home. */
 import type {AnnouncedDatabase} from '../catalog/types.js';
-import {PassiveHealth} from '../membership/work-health.js';
+import {PassiveHealth} from '../membership/passive-health.js';
 import type {Clock} from '../infra/clock.js';
 import {startTimer} from '../infra/timer.js';
 import {laterPosition, type Position} from '../session/position.js';
 import type {StatementConnector} from '../statements/connection.js';
 import type {DatabaseReply, DatabaseState} from '../statements/types.js';
 import {TargetError} from '../targets/types.js';
-import {TeamConnection} from './bound-connection.js';
+import {TeamConnection} from './team-connection.js';
 import {ConnectionPool} from './connection-pool.js';
 import {TeamConnections, type TeamSlotRequest} from './team-connections.js';
 
--- a/src/home/home-context.ts
+++ b/src/home/home-context.ts
@@ -3,7 +3,7 @@
 import type {Clock} from '../infra/clock.js';
 import type {PositionCertificates} from '../routing/certificates.js';
 import type {Logger} from '../telemetry/log.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import type {GroupMember} from './group-member.js';
 import type {OpenTransactions} from './open-transactions.js';
 import type {OpenTransaction} from './transaction-statements.js';
--- a/src/home/home-forwarder.ts
+++ b/src/home/home-forwarder.ts
@@ -7,7 +7,7 @@
   type NotRun,
   type Verdict,
 } from '../verdict/verdict.js';
-import type {HomeMonitor} from './home-watch.js';
+import type {HomeMonitor} from './home-monitor.js';
 import type {HomeRequest, HomeResult} from './types.js';
 
 /** Maximum number of homes tried for one request. */
--- a/src/home/home-watch.ts
+++ b/src/home/home-monitor.ts
@@ -6,7 +6,7 @@
  * new requests go to the next choice, and pings detect when the home answers
  * again, so that no request is spent on finding out.
  */
-import {PassiveHealth} from '../membership/work-health.js';
+import {PassiveHealth} from '../membership/passive-health.js';
 import type {PeerAddress, PeerCaller} from '../peers/types.js';
 import type {Clock} from '../infra/clock.js';
 import {sleepToTick} from '../infra/timer.js';
--- a/src/home/home-router.ts
+++ b/src/home/home-router.ts
@@ -1,5 +1,5 @@
 /** Routes batches from an entry node to the home of their group. */
-import {toPeerAddress} from '../membership/known-vm.js';
+import {toPeerAddress} from '../membership/member-entry.js';
 import type {Member} from '../membership/member.js';
 import type {PeerCaller} from '../peers/types.js';
 import type {Clock} from '../infra/clock.js';
--- a/src/home/primary-writes.ts
+++ b/src/home/primary-writes.ts
@@ -1,7 +1,7 @@
 /** Runs writes and opens read-write transactions at the primary. */
 import type {DatabaseReply} from '../statements/types.js';
 import {notRun, type Verdict} from '../verdict/verdict.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
 import type {Slot} from './connection-pool.js';
--- a/src/home/read-loop.ts
+++ b/src/home/read-loop.ts
@@ -3,7 +3,7 @@
 import {mayHaveRun, notRun} from '../verdict/verdict.js';
 import type {GroupDatabases} from './group-databases.js';
 import type {ReadOutcome, ReadPath} from './read-path.js';
-import {HedgedRead, type HedgedTry} from './read-race.js';
+import {HedgedRead, type HedgedTry} from './hedged-read.js';
 import {
   CANCELLED,
   failedResult,
--- a/src/home/statement-attempt.ts
+++ b/src/home/statement-attempt.ts
@@ -9,7 +9,7 @@
   type NotRun,
   type Verdict,
 } from '../verdict/verdict.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
 import type {SlotResult} from './connection-pool.js';
--- a/src/home/statement-codec.ts
+++ b/src/home/statement-codec.ts
@@ -13,7 +13,7 @@
 } from '../statements/types.js';
 import type {TransactionStatus} from '../targets/types.js';
 import type {Verdict} from '../verdict/verdict.js';
-import type {SessionValues} from './bound-connection.js';
+import type {SessionValues} from './team-connection.js';
 import type {StatementRequest, StatementResult} from './statement-request.js';
 import type {Priority} from './types.js';
 
--- a/src/home/statement-request.ts
+++ b/src/home/statement-request.ts
@@ -3,7 +3,7 @@
 import type {CallerStatement, StatementOutput} from '../statements/types.js';
 import type {TransactionStatus} from '../targets/types.js';
 import type {Verdict} from '../verdict/verdict.js';
-import type {SessionValues} from './bound-connection.js';
+import type {SessionValues} from './team-connection.js';
 import type {HomeRequest, HomeResult} from './types.js';
 
 /** Names of the peer methods of a certified home. */
--- a/src/home/team-connections.ts
+++ b/src/home/team-connections.ts
@@ -8,7 +8,7 @@
  */
 import type {Clock} from '../infra/clock.js';
 import {TargetError} from '../targets/types.js';
-import type {TeamConnection, SessionValues} from './bound-connection.js';
+import type {TeamConnection, SessionValues} from './team-connection.js';
 import type {ConnectionSource, SlotRequest} from './connection-pool.js';
 
 /** A connection idle for longer is checked with a round trip before use. */
--- a/src/home/transaction-statements.ts
+++ b/src/home/transaction-statements.ts
@@ -1,7 +1,7 @@
 /** Runs the later statements of open transactions. */
 import type {DatabaseReply} from '../statements/types.js';
 import {notRun} from '../verdict/verdict.js';
-import type {TeamConnection} from './bound-connection.js';
+import type {TeamConnection} from './team-connection.js';
 import type {HomeContext} from './home-context.js';
 import type {GroupMember} from './group-member.js';
 import type {PinnedTransaction} from './open-transactions.js';
--- a/src/index.ts
+++ b/src/index.ts
@@ -297,4 +297,4 @@
 export type {FleetMember} from './fleet/member-record.js';
 
 /** Whether a database or node answers, judged from the work itself. */
-export {PassiveHealth} from './membership/work-health.js';
+export {PassiveHealth} from './membership/passive-health.js';
--- a/src/membership/exchange.ts
+++ b/src/membership/exchange.ts
@@ -4,7 +4,7 @@
 import type {PeerHandler} from '../peers/types.js';
 import type {Clock, Random} from '../infra/clock.js';
 import {elapsedSince, takeInstant, type Instant} from './elapsed.js';
-import {toPeerAddress} from './known-vm.js';
+import {toPeerAddress} from './member-entry.js';
 import type {Members} from './members.js';
 import {PartnerChoice} from './partner-choice.js';
 
--- a/src/membership/member-digest.ts
+++ b/src/membership/member-digest.ts
@@ -1,6 +1,6 @@
 /** Selects the membership changes that a node sends to others. */
 
-import {toDelta, type MemberEntry} from './known-vm.js';
+import {toDelta, type MemberEntry} from './member-entry.js';
 import type {MemberDelta} from './member.js';
 import type {MemberChanges} from './member-changes.js';
 import {rendezvousScore} from './rendezvous.js';
--- a/src/membership/member-view.ts
+++ b/src/membership/member-view.ts
@@ -1,6 +1,6 @@
 /** Read-only membership snapshots, cached until the next change. */
 
-import {isLive, toMember, type MemberEntry} from './known-vm.js';
+import {isLive, toMember, type MemberEntry} from './member-entry.js';
 import type {Member} from './member.js';
 import {rankByRendezvous} from './rendezvous.js';
 
--- a/src/membership/members.ts
+++ b/src/membership/members.ts
@@ -8,7 +8,7 @@
   isLive,
   toMember,
   type MemberEntry,
-} from './known-vm.js';
+} from './member-entry.js';
 import {LastContactTable} from './last-contact-table.js';
 import {isRedundantDeath, resolveStatus} from './status-rules.js';
 import {MemberChanges} from './member-changes.js';
--- a/src/membership/partner-choice.ts
+++ b/src/membership/partner-choice.ts
@@ -1,7 +1,7 @@
 /** Chooses the partner of the next gossip exchange. */
 
 import type {Clock, Random} from '../infra/clock.js';
-import {isLive} from './known-vm.js';
+import {isLive} from './member-entry.js';
 import type {Member} from './member.js';
 import type {Members} from './members.js';
 import {compareIds, rendezvousScore} from './rendezvous.js';
--- a/src/membership/prober.ts
+++ b/src/membership/prober.ts
@@ -3,12 +3,12 @@
  * indirect probes through other nodes have failed too.
  */
 
-import {callOnNewConnection} from '../peers/call-fresh.js';
+import {callOnNewConnection} from '../peers/call-on-new-connection.js';
 import type {PeerConnector} from '../peers/peer-pool.js';
 import {PeerError, type PeerHandler} from '../peers/types.js';
 import type {Clock, Random} from '../infra/clock.js';
 import {elapsedSince, takeInstant} from './elapsed.js';
-import {isLive, toPeerAddress} from './known-vm.js';
+import {isLive, toPeerAddress} from './member-entry.js';
 import {isMemberIdentity, type Member, type MemberIdentity} from './member.js';
 import type {Members} from './members.js';
 import {decodeProbeAnswer, encodeProbeAnswer} from './probe-answer.js';
--- a/src/membership/status-rules.ts
+++ b/src/membership/status-rules.ts
@@ -1,6 +1,6 @@
 /** Rules by which the status of a VM changes over time. */
 
-import type {MemberEntry} from './known-vm.js';
+import type {MemberEntry} from './member-entry.js';
 import type {MemberIdentity, MemberStatus} from './member.js';
 
 /** Inputs of {@link resolveStatus}. */
--- a/src/node/admin-routes.ts
+++ b/src/node/admin-routes.ts
@@ -3,11 +3,11 @@
 import type {BudgetStatus} from '../admission/types.js';
 import type {HomeService} from '../home/home-service.js';
 import {HOME_METHODS} from '../home/messages.js';
-import {toPeerAddress} from '../membership/known-vm.js';
+import {toPeerAddress} from '../membership/member-entry.js';
 import type {Coordination} from '../membership/coordination.js';
 import type {Member} from '../membership/member.js';
 import type {PeerCaller} from '../peers/types.js';
-import type {StatementMetrics} from '../telemetry/metrics.js';
+import type {StatementMetrics} from '../telemetry/statement-metrics.js';
 import {
   AdminInputError,
   type AdminAnswer,
--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -1,7 +1,7 @@
 /** The team budgets at one node: its part as a holder, and as an owner. */
 import {peerAddressOf} from '../fleet/member-list.js';
 import type {MemberLease} from '../fleet/member-lease.js';
-import type {HomeMonitor} from '../home/home-watch.js';
+import type {HomeMonitor} from '../home/home-monitor.js';
 import type {Clock} from '../infra/clock.js';
 import type {PeerCaller, PeerHandler} from '../peers/types.js';
 import {BudgetHolder} from '../quota/budget-holder.js';
--- a/src/node/node-places.ts
+++ b/src/node/node-places.ts
@@ -3,7 +3,7 @@
 import {peerAddressOf} from '../fleet/member-list.js';
 import type {FleetMember} from '../fleet/member-record.js';
 import {chooseWatchers, orderWatchers} from '../fleet/watchers.js';
-import type {HomeMonitor} from '../home/home-watch.js';
+import type {HomeMonitor} from '../home/home-monitor.js';
 import type {PeerAddress} from '../peers/types.js';
 import {chooseNearbyReader} from '../routing/nearby-reader.js';
 import type {NodePicture} from './node-picture.js';
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -7,7 +7,7 @@
 import {vmHash, vmHashOf} from '../callers/cancel-keys.js';
 import type {CancelKey} from '../callers/startup.js';
 import {HomeRouter} from '../home/home-router.js';
-import {toPeerAddress} from '../membership/known-vm.js';
+import {toPeerAddress} from '../membership/member-entry.js';
 import type {HomeService} from '../home/home-service.js';
 import {
   createCoordination,
@@ -23,7 +23,7 @@
 import {createClassifier} from '../routing/classify.js';
 import {TokenSigner} from '../session/token-signer.js';
 import type {Logger} from '../telemetry/log.js';
-import {StatementMetrics} from '../telemetry/metrics.js';
+import {StatementMetrics} from '../telemetry/statement-metrics.js';
 import {ConfiguredAccess} from './access.js';
 import {createAdminRoutes} from './admin-routes.js';
 import {AdminServer} from './admin-server.js';
--- a/src/node/peer-ports.ts
+++ b/src/node/peer-ports.ts
@@ -6,7 +6,7 @@
   NodeRef,
 } from '../admission/types.js';
 import type {ReachabilityPort} from '../groups/failover-need.js';
-import {toPeerAddress} from '../membership/known-vm.js';
+import {toPeerAddress} from '../membership/member-entry.js';
 import {HOME_METHODS} from '../home/messages.js';
 import type {Member} from '../membership/member.js';
 import type {Members} from '../membership/members.js';
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -10,7 +10,7 @@
 import type {FeedChange} from '../fleet/store-feed.js';
 import {FailoverLease, type FailoverOrders} from '../groups/failover-lease.js';
 import {HomeForwarder, splitPin} from '../home/home-forwarder.js';
-import {HomeMonitor, PING_METHOD} from '../home/home-watch.js';
+import {HomeMonitor, PING_METHOD} from '../home/home-monitor.js';
 import {
   failedStatement,
   STATEMENT_METHODS,
--- a/src/quota/budget-holder.ts
+++ b/src/quota/budget-holder.ts
@@ -12,7 +12,7 @@
 import {TokenBucket} from '../admission/token-bucket.js';
 import type {Clock} from '../infra/clock.js';
 import type {Logger} from '../telemetry/log.js';
-import {RetrySpacing} from './return-times.js';
+import {RetrySpacing} from './retry-spacing.js';
 import type {
   QuotaDecision,
   RateLimits,
--- a/src/rollout/dissemination.ts
+++ b/src/rollout/dissemination.ts
@@ -6,7 +6,7 @@
   type Instant,
 } from '../membership/elapsed.js';
 import type {Comparison, ExchangeSection} from '../membership/exchange.js';
-import {toPeerAddress} from '../membership/known-vm.js';
+import {toPeerAddress} from '../membership/member-entry.js';
 import type {Member} from '../membership/member.js';
 import type {Members} from '../membership/members.js';
 import type {PeerCaller, PeerHandler} from '../peers/types.js';
--- a/src/sessions/statement-session.ts
+++ b/src/sessions/statement-session.ts
@@ -1,7 +1,7 @@
 /** A caller's session, independent of the protocol it uses. */
 import {randomBytes} from 'node:crypto';
 import type {Route} from '../catalog/types.js';
-import type {SessionValues} from '../home/bound-connection.js';
+import type {SessionValues} from '../home/team-connection.js';
 import type {HomeForwarder} from '../home/home-forwarder.js';
 import type {
   StatementRequest,
--- a/src/telemetry/burn-report.ts
+++ b/src/telemetry/burn-report.ts
@@ -1,5 +1,5 @@
 /** Burn report: service levels and error-budget burn per team, group and kind. */
-import {SLICE_MS, type SeriesKey} from './metrics.js';
+import {SLICE_MS, type SeriesKey} from './statement-metrics.js';
 import {
   decodeSlice,
   SeriesTotals,
--- a/src/telemetry/series-totals.ts
+++ b/src/telemetry/series-totals.ts
@@ -5,7 +5,7 @@
   type Histogram,
   type JsHistogram,
 } from 'hdr-histogram-js';
-import type {SeriesKey} from './metrics.js';
+import type {SeriesKey} from './statement-metrics.js';
 import type {StatementCounts} from './service-level.js';
 
 const MICROS_PER_MS = 1_000;
--- a/test/admission/budget-failures.test.ts
+++ b/test/admission/budget-failures.test.ts
@@ -3,7 +3,7 @@
 import {EMPTY_SHARE} from '../../src/admission/share.js';
 import type {SyncMessage} from '../../src/admission/types.js';
 import {Cluster, STANDING_LIMIT_MS, type ClusterNode} from './cluster.js';
-import {worstExcess} from './law.js';
+import {worstExcess} from './conservation-invariant.js';
 import {rendezvousOrder} from './random.js';
 
 const TEAM = 'assessors';
--- a/test/admission/budget-service.test.ts
+++ b/test/admission/budget-service.test.ts
@@ -3,7 +3,7 @@
 import type {BudgetLimits} from '../../src/admission/types.js';
 import {ManualClock} from './manual-clock.js';
 import {Cluster, type ClusterNode} from './cluster.js';
-import {worstExcess} from './law.js';
+import {worstExcess} from './conservation-invariant.js';
 
 const END_MS = 30_000;
 const CONFIG_LAG_MS = 3_200;
--- a/test/admission/conservation-invariant.test.ts
+++ b/test/admission/conservation-invariant.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {worstExcess} from './law.js';
+import {worstExcess} from './conservation-invariant.js';
 
 const LIMITS = {rate: 10, burst: 3};
 
--- a/test/admission/lost-owner.test.ts
+++ b/test/admission/lost-owner.test.ts
@@ -2,7 +2,7 @@
 import type {BudgetService} from '../../src/admission/budget-service.js';
 import {WHOLE_UNITS} from '../../src/admission/share.js';
 import {Cluster, type ClusterNode, type Decision} from './cluster.js';
-import {worstExcess} from './law.js';
+import {worstExcess} from './conservation-invariant.js';
 
 const TEAM = 'assessors';
 const LIMITS = {rate: 40, burst: 20};
--- a/test/admission/schedule.ts
+++ b/test/admission/schedule.ts
@@ -3,7 +3,7 @@
 import {WHOLE_UNITS} from '../../src/admission/share.js';
 import type {BudgetLimits} from '../../src/admission/types.js';
 import {Cluster, STANDING_LIMIT_MS, type ClusterNode} from './cluster.js';
-import {worstExcess, type LimitsChange} from './law.js';
+import {worstExcess, type LimitsChange} from './conservation-invariant.js';
 
 export const TEAM = 'assessors';
 const END_MS = 30_000;
--- a/test/admission/team-holder.test.ts
+++ b/test/admission/team-holder.test.ts
@@ -1,5 +1,5 @@
 import {expect, test} from 'vitest';
-import {SPEND_VALID_MS} from '../../src/admission/remote-spends.js';
+import {SPEND_VALID_MS} from '../../src/admission/in-flight-spends.js';
 import {EMPTY_SHARE, tokensIn, WHOLE_SHARE} from '../../src/admission/share.js';
 import {SpendGuard} from '../../src/admission/spend-guard.js';
 import {TeamHolder} from '../../src/admission/team-holder.js';
--- a/test/callers/harness.ts
+++ b/test/callers/harness.ts
@@ -9,7 +9,7 @@
 } from '../../standins/database/index.js';
 import {CallerServer} from '../../src/callers/caller-server.js';
 import type {CancelKey} from '../../src/callers/startup.js';
-import type {StatementSample} from '../../src/telemetry/metrics.js';
+import type {StatementSample} from '../../src/telemetry/statement-metrics.js';
 import {HomeService} from '../../src/home/home-service.js';
 import {SystemClock, SystemRandom} from '../../src/infra/clock.js';
 import {createClassifier} from '../../src/routing/classify.js';
--- a/test/peers/virtual-network.test.ts
+++ b/test/peers/virtual-network.test.ts
@@ -1,5 +1,5 @@
 import {describe, expect, it} from 'vitest';
-import {callOnNewConnection} from '../../src/peers/call-fresh.js';
+import {callOnNewConnection} from '../../src/peers/call-on-new-connection.js';
 import type {PeerError} from '../../src/peers/types.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 import {VirtualNetwork, type NetworkFaults} from '../fakes/virtual-network.js';
--- a/test/quota/retry-spacing.test.ts
+++ b/test/quota/retry-spacing.test.ts
@@ -1,7 +1,7 @@
 import {describe, expect, it} from 'vitest';
 import {BudgetHolder} from '../../src/quota/budget-holder.js';
 import {BudgetOwner} from '../../src/quota/budget-owner.js';
-import {RetrySpacing} from '../../src/quota/return-times.js';
+import {RetrySpacing} from '../../src/quota/retry-spacing.js';
 import {createLogger} from '../../src/telemetry/log.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
--- a/test/statements/fleet.test.ts
+++ b/test/statements/fleet.test.ts
@@ -11,7 +11,7 @@
   type LeasedStore,
 } from '../../src/infra/leased-store.js';
 import {StoreError} from '../../src/infra/store.js';
-import {RateLimitedLogger} from '../../src/telemetry/bounded-log.js';
+import {RateLimitedLogger} from '../../src/telemetry/rate-limited-log.js';
 import {createLogger} from '../../src/telemetry/log.js';
 import {VirtualClock} from '../fakes/virtual-clock.js';
 
--- a/test/telemetry/burn-report.test.ts
+++ b/test/telemetry/burn-report.test.ts
@@ -4,7 +4,7 @@
   highestBurnRate,
   type BurnRow,
 } from '../../src/telemetry/burn-report.js';
-import {StatementMetrics} from '../../src/telemetry/metrics.js';
+import {StatementMetrics} from '../../src/telemetry/statement-metrics.js';
 import {DONE, mayHaveRun, notRun} from '../../src/verdict/verdict.js';
 import {ManualClock} from '../admission/manual-clock.js';
 import {createReport, createSlice, NOW, OBJECTIVE, VMS} from './fixture.js';
