--- a/src/index.ts
+++ b/src/index.ts
@@ -1,12 +1,12 @@
 /**
- * The library: the proxy's coordination parts, to be embedded in a program of
- * one's own. All durations are in milliseconds. Parts take their time, chance
- * and platform as ports, so that they run under virtual time.
+ * The library: the proxy's coordination components, for embedding in other
+ * programs. All durations are in milliseconds. Components receive the clock, the
+ * random source and the platform as ports, so that they run under virtual time.
  *
  * @module
  */
 
-/** Ports of time and chance, and the machine's own. */
+/** Ports for time and randomness, and their system implementations. */
 export {
   SystemClock,
   SystemRandom,
@@ -14,7 +14,7 @@
   type Random,
 } from './infra/clock.js';
 
-/** The port to the platform's key-value service; calls throw `StoreError`. */
+/** Port to the platform's key-value service; calls throw `StoreError`. */
 export {
   StoreError,
   type Store,
@@ -25,14 +25,14 @@
   type WatchItem,
 } from './infra/store.js';
 
-/** The adapter to a store that speaks the etcd v3 JSON gateway. */
+/** Store adapter for the etcd v3 JSON gateway. */
 export {EtcdStore, type EtcdStoreOptions} from './infra/etcd-store.js';
 export {StoreRefusalError, WatchCompactedError} from './infra/etcd-errors.js';
 
 /** The platform's list of VMs. */
 export {VM_LIST_KEY, type VmRecord} from './infra/vm-list.js';
 
-/** Team budgets over all VMs together: rates in statements a second. */
+/** Team budgets across all VMs, in statements per second. */
 export {BudgetService} from './admission/budget-service.js';
 export type {
   Admission,
@@ -50,7 +50,7 @@
 } from './admission/types.js';
 export {WHOLE_UNITS} from './admission/share.js';
 
-/** The bucket and the queue that the budgets and homes are made of. */
+/** Token bucket and fair queue, as budgets and homes use them. */
 export {TokenBucket, type BucketSize} from './admission/token-bucket.js';
 export {
   FairQueue,
@@ -61,7 +61,7 @@
   type SchedulingParams,
 } from './admission/fair-queue.js';
 
-/** Positions in a database group's log, ordered by term first. */
+/** Positions in a database group's log, ordered by term, then by offset. */
 export {
   comparePositions,
   covers,
@@ -72,7 +72,7 @@
   type Position,
 } from './session/position.js';
 
-/** Signed tokens that carry read-your-writes from one proxy to another. */
+/** Signed session tokens, for read-your-writes across proxies. */
 export {
   decodeToken,
   MAX_TOKEN_CHARS,
@@ -82,7 +82,7 @@
 } from './session/token.js';
 export {TokenSigner} from './session/token-signer.js';
 
-/** The choice of a database for a read. */
+/** Choice of the database that serves a read. */
 export {
   chooseTarget,
   DEFAULT_MAX_WAIT_MS,
@@ -101,7 +101,7 @@
 export {createClassifier, type Classifier} from './routing/classify.js';
 export type {Classification, Statement} from './routing/statement.js';
 
-/** Database groups, and the port to one database. */
+/** Database groups, and the port that controls one database. */
 export {
   GROUPS_KEY,
   type ConfirmResult,
@@ -120,7 +120,7 @@
   type GroupView,
 } from './groups/group-view.js';
 
-/** When a committed write may be acknowledged. */
+/** Acknowledgement of committed writes. */
 export {
   AckTracker,
   ackVerdict,
@@ -130,7 +130,7 @@
   type CommittedWrite,
 } from './groups/acknowledgement.js';
 
-/** What is known of a group, and who orders a failover when. */
+/** Monitoring of a group's databases, and the decision to fail over. */
 export {
   GroupMonitor,
   type MonitorOptions,
@@ -148,7 +148,7 @@
   type FailoverEvent,
 } from './groups/failover-agent.js';
 
-/** One failover, and a planned switch of the primary. */
+/** Failover, and the planned switch of the primary. */
 export {
   orderFailover,
   type FailoverOrder,
@@ -162,7 +162,7 @@
   type WriteHold,
 } from './groups/planned-switch.js';
 
-/** The fleet: live VMs, documents passed between them, and the standing. */
+/** Fleet membership, replicated documents, and the standing of a node. */
 export {
   Coordination,
   createCoordination,
@@ -185,7 +185,7 @@
 } from './rollout/documents.js';
 export type {PeerAddress, PeerCaller, PeerHandler} from './peers/types.js';
 
-/** The outcome of a request, and whether it may have run. */
+/** Verdict: the outcome of a request, and whether it may have run. */
 export {
   DONE,
   mayHaveRun,
@@ -248,7 +248,7 @@
   type NewKey,
 } from './rollout/keys.js';
 
-/** Service levels of several nodes from their merged histograms. */
+/** Burn report: service levels from the merged histograms of several nodes. */
 export {
   collectBurnReport,
   type BurnReport,
@@ -259,7 +259,7 @@
 } from './telemetry/burn-report.js';
 export type {ServiceObjective} from './telemetry/service-level.js';
 
-/** Reads proved fresh by log positions, and where they are placed. */
+/** Freshness certificates by log position, and the placement of reads. */
 export {PositionCertificates} from './routing/certificates.js';
 export {
   placeRead,
@@ -272,10 +272,10 @@
   type ReaderCandidate,
 } from './routing/nearby-reader.js';
 
-/** Who leads a database group, from answers and announcements. */
+/** Tracks a group's leader from database responses and announcements. */
 export {Leadership} from './groups/leadership.js';
 
-/** Team budgets by leased tokens, bounded over sliding windows. */
+/** Team budgets by leased tokens, limited over sliding windows. */
 export {BudgetHolder, type BudgetHolderOptions} from './quota/budget-holder.js';
 export {
   BudgetOwner,
@@ -290,11 +290,11 @@
   TokenRequest,
 } from './quota/types.js';
 
-/** Which nodes follow the store, and what they hand on. */
+/** Watchers: nodes that read the store's change feed and relay it to others. */
 export {chooseWatchers, orderWatchers} from './fleet/watchers.js';
 export {FeedRelay} from './fleet/feed-relay.js';
 export {StoreFeed, type FeedChange} from './fleet/store-feed.js';
 export type {FleetMember} from './fleet/member-record.js';
 
-/** Whether a database or node answers, judged from the work itself. */
+/** Passive health checks of databases and nodes, from their regular requests. */
 export {PassiveHealth} from './membership/passive-health.js';
--- a/src/node/access.ts
+++ b/src/node/access.ts
@@ -1,4 +1,4 @@
-/** Decides who may run what, by the configuration in force. */
+/** Authenticates and authorises callers by the current configuration. */
 import type {
   AccessPort,
   AuthOutcome,
@@ -13,11 +13,11 @@
 import {notRun, type NotRun} from '../verdict/verdict.js';
 import type {LiveConfig} from './live-config.js';
 
-/** The team whose rate holds for callers of routes that are open to all. */
+/** Team whose rate limit applies to callers of routes that require no key. */
 export const PUBLIC_TEAM = 'public';
 const CUT_OFF_RETRY_MS = 1_000;
 
-/** Checks callers and their rules. */
+/** Checks keys and routes against the current configuration document. */
 export class ConfiguredAccess implements AccessPort {
   readonly #config: LiveConfig;
   readonly #standing: Pick<StandingMonitor, 'evaluate'>;
--- a/src/node/admin-routes.ts
+++ b/src/node/admin-routes.ts
@@ -1,4 +1,4 @@
-/** What a node tells operators, and what they can order from it. */
+/** Routes of the admin server: status queries and the planned switch. */
 import {WHOLE_UNITS} from '../admission/share.js';
 import type {BudgetStatus} from '../admission/types.js';
 import type {HomeService} from '../home/home-service.js';
@@ -19,7 +19,7 @@
 
 const SWITCH_TIMEOUT_MS = 10_000;
 
-/** What the routes speak about. */
+/** Dependencies of the routes. */
 export interface AdminDeps {
   readonly vm: string;
   readonly coordination: Coordination;
@@ -33,7 +33,7 @@
   readonly isDraining: () => boolean;
 }
 
-/** Builds the routes of a node. */
+/** Creates a node's admin routes, keyed by `METHOD /path`. */
 export function createAdminRoutes(
   deps: AdminDeps,
 ): ReadonlyMap<string, AdminRoute> {
@@ -44,7 +44,7 @@
     ['GET /members', () => ok(deps.coordination.members.all())],
     ['GET /budgets', () => ok(deps.budgets.status().map(formatBudget))],
     ['GET /groups', () => ok(groups(deps))],
-    ['GET /metrics', () => ok(usage(deps))],
+    ['GET /metrics', () => ok(resourceUsage(deps))],
     ['GET /statements', req => statements(deps, req)],
     ['POST /switch', req => switchPrimary(deps, req)],
   ]);
@@ -72,16 +72,16 @@
     config: config.document.version,
     revisions: coordination.documents.digest(),
     standing: coordination.standing.evaluate(),
-    storeAgeMs: finite(coordination.storeContact.ageMs()),
+    storeAgeMs: roundFinite(coordination.storeContact.ageMs()),
     isWatcher: coordination.isWatcher,
   };
 }
 
-function finite(ms: number): number | null {
+function roundFinite(ms: number): number | null {
   return Number.isFinite(ms) ? Math.round(ms) : null;
 }
 
-/** The groups as the homes on this VM see them, and every group's home. */
+/** Returns every group's home, and the views of the groups homed on this VM. */
 function groups({homes, config, homeOrder}: AdminDeps) {
   return {
     homes: Object.fromEntries(
@@ -91,7 +91,7 @@
   };
 }
 
-function usage(deps: AdminDeps) {
+function resourceUsage(deps: AdminDeps) {
   const {rss, heapUsed} = process.memoryUsage();
   const {user, system} = process.cpuUsage();
   return {
@@ -113,17 +113,17 @@
   return ok({vm: deps.vm, slices: deps.metrics.slices(Number(since))});
 }
 
-/** The shares as parts of the whole, which is 1. */
+/** Formats shares as fractions of 1. */
 function formatBudget(budget: BudgetStatus) {
   const {share, tokens} = budget;
   return {
     ...budget,
-    share: {rate: partOf(share.rate), burst: partOf(share.burst)},
+    share: {rate: toFraction(share.rate), burst: toFraction(share.burst)},
     tokens: Number(tokens.toFixed(1)),
   };
 }
 
-function partOf(units: number): number {
+function toFraction(units: number): number {
   return Number((units / WHOLE_UNITS).toFixed(4));
 }
 
--- a/src/node/admin-server.ts
+++ b/src/node/admin-server.ts
@@ -1,4 +1,4 @@
-/** The operators' HTTP interface of one node: JSON over a private port. */
+/** HTTP server for operators: JSON on a port of its own. */
 import {
   createServer,
   type IncomingMessage,
@@ -10,23 +10,23 @@
 
 const MAX_BODY_BYTES = 65_536;
 
-/** An answer: a status code and a JSON body. */
+/** Status code and JSON body of a response. */
 export interface AdminAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** What a route receives. */
+/** Parsed query and JSON body of a request. */
 export interface AdminRequest {
   readonly query: URLSearchParams;
   readonly body: unknown;
 }
 
-/** Input that its sender has to mend: answered with 400. */
+/** Invalid input in a request; the server responds with 400. */
 export class AdminInputError extends Error {
   /**
-   * @param field the field of the query or the body; `body` for all of it
-   * @param remedy what to send instead
+   * @param field invalid field of the query or the body; `body` for the whole body
+   * @param remedy describes valid input
    */
   constructor(
     readonly field: string,
@@ -39,20 +39,20 @@
 }
 
 /**
- * Serves one route, such as `GET /health`. It throws {@link AdminInputError}
- * for bad input; any other error is a fault of the node.
+ * Handles one route, such as `GET /health`. Throws {@link AdminInputError} for
+ * invalid input; any other error is logged and answered with 500.
  */
 export type AdminRoute = (
   req: AdminRequest,
 ) => AdminAnswer | Promise<AdminAnswer>;
 
-/** Serves routes by method and path. */
+/** Dispatches requests to routes by method and path. */
 export class AdminServer {
   readonly #server: Server;
   readonly #routes: ReadonlyMap<string, AdminRoute>;
   readonly #log: Logger;
 
-  /** @param routes By `METHOD /path`. */
+  /** @param routes handlers keyed by `METHOD /path` */
   constructor(routes: ReadonlyMap<string, AdminRoute>, log: Logger) {
     this.#routes = routes;
     this.#log = log;
@@ -63,7 +63,7 @@
     return (this.#server.address() as AddressInfo).port;
   }
 
-  /** Resolves once the port is open. */
+  /** Resolves once the server is listening. */
   listen(host: string, port: number): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -82,7 +82,7 @@
   async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const {status, text} = await this.#answer(req)
       .then(toText)
-      .catch((err: unknown) => toText(this.#describe(req, err)));
+      .catch((err: unknown) => toText(this.#toErrorAnswer(req, err)));
     res.writeHead(status, {'content-type': 'application/json'});
     res.end(`${text}\n`);
   }
@@ -98,7 +98,7 @@
     return route({query: new URLSearchParams(query), body});
   }
 
-  #describe(req: IncomingMessage, err: unknown): AdminAnswer {
+  #toErrorAnswer(req: IncomingMessage, err: unknown): AdminAnswer {
     if (err instanceof AdminInputError) {
       const {field, message, remedy} = err;
       return {status: 400, body: {error: message, field, remedy}};
--- a/src/node/create-budgets.ts
+++ b/src/node/create-budgets.ts
@@ -1,4 +1,4 @@
-/** Builds a node's budgets on its membership, store and configuration. */
+/** Creates the escrow budgets of a node from its shared components. */
 import {budgetKey} from '../admission/budget-record.js';
 import type {BudgetDeps} from '../admission/types.js';
 import {ConfigEditor} from '../rollout/editor.js';
@@ -8,7 +8,7 @@
 import {budgetInstance, MemberBudgetPeers} from './peer-ports.js';
 import {RenewableBudgets} from './renewable-budgets.js';
 
-/** The budgets of all teams at this node. */
+/** Creates this node's side of the budgets of all teams. */
 export function createBudgets(ctx: NodeContext): RenewableBudgets {
   const {vm} = ctx.settings;
   const {members, standing} = ctx.coordination;
@@ -34,17 +34,17 @@
   return new RenewableBudgets({
     deps,
     log: ctx.log,
-    choicesOf: count => {
+    teamRanks: count => {
       const teams = [...ctx.config.document.table.teams.keys()];
-      const placeOf = (team: string) =>
+      const rankOf = (team: string) =>
         members
           .homeOrder(budgetKey(team))
           .slice(0, count)
           .findIndex(({id}) => id === vm);
       return new Map(
         teams
-          .map(team => [team, placeOf(team)] as const)
-          .filter(([, place]) => place >= 0),
+          .map(team => [team, rankOf(team)] as const)
+          .filter(([, rank]) => rank >= 0),
       );
     },
   });
--- a/src/node/create-homes.ts
+++ b/src/node/create-homes.ts
@@ -1,4 +1,4 @@
-/** Builds the homes of a node on its targets, peers and configuration. */
+/** Creates the home service of a node from its shared components. */
 import type {FailoverEvent} from '../groups/failover-agent.js';
 import type {DatabaseSpec} from '../groups/types.js';
 import {HomeService} from '../home/home-service.js';
@@ -6,14 +6,14 @@
 import {PgDatabaseControl} from '../targets/database-control.js';
 import {PgTargetConnection} from '../targets/pg-connection.js';
 import {groupHomeOrder, type NodeContext} from './node-context.js';
-import {PeerEvidence} from './peer-ports.js';
+import {PeerReachability} from './peer-ports.js';
 
 const TARGET_CONNECT_TIMEOUT_MS = 500;
-const DEFAULT_WEIGHT = 1;
-/** The database name that nodes open at their targets. */
+const DEFAULT_TEAM_WEIGHT = 1;
+/** Name of the database that nodes open on their targets. */
 const TARGET_DATABASE = 'app';
 
-/** The homes of the groups whose home this node is, or may become. */
+/** Creates the service for the groups whose home this node is or may become. */
 export function createHomes(ctx: NodeContext): HomeService {
   const {members} = ctx.coordination;
   const {dataCentre, targetUser, targetPassword, vm} = ctx.settings;
@@ -31,11 +31,11 @@
       connect: spec => connectTarget(ctx, spec),
     },
     replicaWaitMs: ctx.settings.replicaWaitMs,
-    reachability: new PeerEvidence(members, ctx.peers, dataCentre),
+    reachability: new PeerReachability(members, ctx.peers, dataCentre),
     groups: () => ctx.config.groups,
     row: group => ctx.config.document.table.groups.get(group),
     weightOf: team =>
-      teamRow(ctx.config.document.table, team)?.rate ?? DEFAULT_WEIGHT,
+      teamRow(ctx.config.document.table, team)?.rate ?? DEFAULT_TEAM_WEIGHT,
     isFirstHome: group => groupHomeOrder(ctx, group)[0]?.id === vm,
     onFailover: (group, event) => logFailover(ctx, group, event),
   });
--- a/src/node/instance-retirement.ts
+++ b/src/node/instance-retirement.ts
@@ -1,7 +1,7 @@
-/** Takes a dead VM instance's budget shares away through the store. */
+/** Retires the budget instance of a dead process through the store. */
 import type {ConfigEditor} from '../rollout/editor.js';
 
-/** Records that an instance may never spend again; throws if it could not. */
+/** Records that an instance may never spend again; throws if the edit fails. */
 export async function retireInstance(
   editor: ConfigEditor,
   vm: string,
--- a/src/node/live-config.ts
+++ b/src/node/live-config.ts
@@ -1,4 +1,4 @@
-/** The configuration in force on this node, as its documents arrive. */
+/** Applies configuration documents as they arrive and serves the newest. */
 import * as z from 'zod';
 import {GROUPS_KEY, type GroupSpec} from '../groups/types.js';
 import {decodeDocument} from '../rollout/config-codec.js';
@@ -25,12 +25,12 @@
   }),
 );
 
-/** Reads the platform's groups; throws where the text is malformed. */
+/** Decodes the platform's database groups; throws if the text is malformed. */
 export function decodeGroups(text: string): readonly GroupSpec[] {
   return groupsSchema.parse(JSON.parse(text));
 }
 
-/** Holds the newest configuration that could be read. */
+/** Holds the newest valid configuration; malformed documents are rejected. */
 export class LiveConfig {
   readonly #log: Logger;
   readonly #listeners = new Set<() => void>();
@@ -43,7 +43,7 @@
     documents.onChange(version => this.#apply(version));
   }
 
-  /** The operators' table and keys. */
+  /** The operators' configuration: table and keys. */
   get document(): ConfigDocument {
     return this.#document;
   }
@@ -53,7 +53,7 @@
     return [...this.#groups.values()];
   }
 
-  /** Instances that lost their budget shares. */
+  /** Budget instances that may never spend again. */
   get retired(): ReadonlySet<string> {
     return this.#retired;
   }
--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -1,4 +1,4 @@
-/** The team budgets at one node: its part as a holder, and as an owner. */
+/** The holder and owner sides of the team budgets on one node. */
 import {peerAddressOf} from '../fleet/member-list.js';
 import type {MemberLease} from '../fleet/member-lease.js';
 import type {HomeMonitor} from '../home/home-monitor.js';
@@ -8,33 +8,36 @@
 import {BudgetOwner, type BudgetRole} from '../quota/budget-owner.js';
 import type {TokenReply, TokenRequest} from '../quota/types.js';
 import type {Logger} from '../telemetry/log.js';
-import type {NodePicture} from './node-picture.js';
-import type {NodePlaces} from './node-places.js';
+import type {ClusterState} from './node-picture.js';
+import type {WorkPlacement} from './work-placement.js';
 
-/** The peer method by which holders take tokens. */
-const METHOD = 'quota.take';
-/** A call to a budget's owner is given up after this long. */
-const TIMEOUT_MS = 150;
-/** Nodes that start within this time of one another were restarted together. */
-const RESTART_MS = 6_000;
+/** Peer method by which holders request tokens. */
+const TAKE_METHOD = 'quota.take';
+/** Timeout of a request to a budget's owner. */
+const TAKE_TIMEOUT_MS = 150;
+/** Nodes that start within this interval of one another restarted together. */
+const FLEET_RESTART_WINDOW_MS = 6_000;
 
-/** What the budgets need of the node. */
+/** Dependencies of {@link NodeBudgets}. */
 export interface NodeBudgetsOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly self: string;
-  readonly picture: Pick<NodePicture, 'catalog' | 'hasEarlierProcesses'>;
-  readonly places: Pick<NodePlaces, 'budgetOrder' | 'firstAnswering'>;
+  readonly clusterState: Pick<ClusterState, 'catalog' | 'hasEarlierProcesses'>;
+  readonly placement: Pick<WorkPlacement, 'budgetOrder' | 'firstResponsive'>;
   readonly lease: Pick<MemberLease, 'isHeld' | 'heldForMs'>;
-  readonly watch: Pick<HomeMonitor, 'begin'>;
+  readonly homeMonitor: Pick<HomeMonitor, 'begin'>;
   readonly peers: PeerCaller;
-  /** Length of the windows for which the teams' limits hold. */
+  /** Length of the sliding window of the teams' limits, in milliseconds. */
   readonly windowMs: number;
   /** Aborts when the node stops. */
   readonly signal: AbortSignal;
 }
 
 /**
+ * Admits statements by tokens that are requested from each team's owner, and
+ * grants tokens to other nodes for the budgets that this node owns.
+ *
  * @example
  * const decision = await budgets.holder.admit('red');
  */
@@ -45,14 +48,14 @@
   readonly #startedAt: number;
 
   constructor(options: NodeBudgetsOptions) {
-    const {clock, log, picture, windowMs} = options;
+    const {clock, log, clusterState, windowMs} = options;
     this.#options = options;
     this.#startedAt = clock.now();
-    const limits = (team: string) => picture.catalog.teams.get(team);
+    const limits = (team: string) => clusterState.catalog.teams.get(team);
     this.#owner = new BudgetOwner({
       clock,
       roleFor: team => this.#roleFor(team),
-      heldForMs: () => this.#creditMs(),
+      heldForMs: () => this.#exclusiveForMs(),
       limits,
       windowMs,
     });
@@ -60,53 +63,55 @@
       clock,
       log,
       limits,
-      requestTokens: req => this.#ask(req),
+      requestTokens: req => this.#requestTokens(req),
     });
   }
 
-  /** The peer methods that it serves. */
+  /** Handlers by peer method. */
   get handlers(): ReadonlyMap<string, PeerHandler> {
     return new Map<string, PeerHandler>([
       [
-        METHOD,
+        TAKE_METHOD,
         async (body, {from}) => this.#owner.serve(from, body as TokenRequest),
       ],
     ]);
   }
 
   /**
-   * Time for which nobody else can have granted from a budget that is new to
-   * this node. After a restart of the whole fleet that is its own time.
+   * Returns for how many milliseconds no other node can have granted from a
+   * budget that this node has just taken over. After a restart of the whole
+   * fleet that is this node's uptime, as no earlier owner is left.
    */
-  #creditMs(): number {
-    const {clock, picture, lease} = this.#options;
-    const upMs = clock.now() - this.#startedAt;
-    const isWholeFleetNew = !picture.hasEarlierProcesses && upMs < RESTART_MS;
-    return isWholeFleetNew ? upMs : lease.heldForMs;
+  #exclusiveForMs(): number {
+    const {clock, clusterState, lease} = this.#options;
+    const uptimeMs = clock.now() - this.#startedAt;
+    const hasFleetRestarted =
+      !clusterState.hasEarlierProcesses && uptimeMs < FLEET_RESTART_WINDOW_MS;
+    return hasFleetRestarted ? uptimeMs : lease.heldForMs;
   }
 
   #roleFor(team: string): BudgetRole {
-    const {lease, places, self} = this.#options;
+    const {lease, placement, self} = this.#options;
     if (!lease.isHeld) return 'none';
-    const order = places.budgetOrder(team);
+    const order = placement.budgetOrder(team);
     if (order[0]?.id === self) return 'owner';
-    return places.firstAnswering(order)?.id === self ? 'standIn' : 'none';
+    return placement.firstResponsive(order)?.id === self ? 'standIn' : 'none';
   }
 
-  async #ask(req: TokenRequest): Promise<TokenReply> {
-    const {places, self, watch, peers, signal} = this.#options;
-    const owner = places.firstAnswering(places.budgetOrder(req.team));
-    if (owner === undefined) throw new Error('no node owns budgets yet');
+  async #requestTokens(req: TokenRequest): Promise<TokenReply> {
+    const {placement, self, homeMonitor, peers, signal} = this.#options;
+    const owner = placement.firstResponsive(placement.budgetOrder(req.team));
+    if (owner === undefined) throw new Error('no live node to own the budget');
     if (owner.id === self) return this.#owner.serve(self, req);
     const address = peerAddressOf(owner);
-    const watched = watch.begin(address, signal);
-    const options = {timeoutMs: TIMEOUT_MS};
+    const monitored = homeMonitor.begin(address, signal);
+    const options = {timeoutMs: TAKE_TIMEOUT_MS};
     try {
-      const reply = await peers.call(address, METHOD, req, options);
-      watched.end('answered');
+      const reply = await peers.call(address, TAKE_METHOD, req, options);
+      monitored.end('answered');
       return reply as TokenReply;
     } catch (err) {
-      watched.end('failed');
+      monitored.end('failed');
       throw err;
     }
   }
--- a/src/node/node-context.ts
+++ b/src/node/node-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a node are built from. */
+/** Components that the other parts of a node share. */
 import type {Coordination} from '../membership/coordination.js';
 import type {Member} from '../membership/member.js';
 import type {PeerPool} from '../peers/peer-pool.js';
@@ -8,13 +8,13 @@
 import type {LiveConfig} from './live-config.js';
 import type {NodeSettings} from './settings.js';
 
-/** The parts that the others share. */
+/** Shared components, passed to the functions that create the other parts. */
 export interface NodeContext {
   readonly settings: NodeSettings;
   readonly log: Logger;
   readonly clock: Clock;
   readonly random: Random;
-  /** Random for each start of the process. */
+  /** Identifies this process; random on each start. */
   readonly instance: string;
   readonly store: Store;
   readonly peers: PeerPool;
@@ -22,7 +22,10 @@
   readonly config: LiveConfig;
 }
 
-/** VMs in order of preference as a group's home; the same on every node. */
+/**
+ * Returns the VMs in order of preference as a group's home, by rendezvous
+ * hashing. Nodes with the same configuration and members agree on the order.
+ */
 export function groupHomeOrder(
   {config, coordination}: NodeContext,
   group: string,
--- a/src/node/node-picture.ts
+++ b/src/node/node-picture.ts
@@ -1,4 +1,4 @@
-/** What a node knows of the fleet, its databases and the configuration. */
+/** Local replica of the store: members, announced databases, configuration. */
 import {isDeepStrictEqual} from 'node:util';
 import {
   EMPTY_CATALOG,
@@ -17,28 +17,28 @@
 import type {LeasedStore} from '../infra/leased-store.js';
 import type {Logger} from '../telemetry/log.js';
 
-/** A store that failed a poll this recently may have let leases lapse. */
+/** Leases may have lapsed if a poll of the store failed within this interval. */
 const LAPSE_WINDOW_MS = 10_000;
 
-/** What a decoded change of the store says. */
+/** A decoded change of the store. */
 export type CatalogChange =
   | {readonly kind: 'catalog'; readonly catalog: Catalog}
   | {
       readonly kind: 'database';
       readonly id: string;
-      /** Undefined where it is gone or can't be read. */
+      /** Undefined if the database is gone or its record is malformed. */
       readonly entry: AnnouncedDatabase | undefined;
     };
 
-/** What a picture is built from. */
-export interface NodePictureOptions {
+/** Dependencies of {@link ClusterState}. */
+export interface ClusterStateOptions {
   readonly clock: Clock;
   readonly log: Logger;
   readonly self: string;
   readonly store: Pick<LeasedStore, 'list' | 'changes'>;
-  /** Decodes a change of the store; undefined where it concerns others. */
+  /** Decodes a change of the store; undefined if the key is not relevant. */
   readonly decode: (change: FeedChange) => CatalogChange | undefined;
-  /** Called where a database announced something new, or is gone. */
+  /** Called when a database's announcement changes or disappears. */
   readonly onDatabase: (
     id: string,
     entry: AnnouncedDatabase | undefined,
@@ -46,24 +46,27 @@
 }
 
 /**
+ * Keeps the state of the cluster current from the store's change feed, and
+ * relays changes to other nodes.
+ *
  * @example
- * const picture = new NodePicture(options);
- * void picture.feed.run(signal);
- * const route = picture.catalog.routes.get('claims');
+ * const state = new ClusterState(options);
+ * void state.feed.run(signal);
+ * const route = state.catalog.routes.get('claims');
  */
-export class NodePicture {
+export class ClusterState {
   readonly members: MemberList;
   readonly feed: StoreFeed;
-  /** Hands what this node knows on to others. */
+  /** Serves the changes that this node has received to other nodes. */
   readonly relay: FeedRelay;
-  readonly #options: NodePictureOptions;
-  readonly #entries = new Map<string, AnnouncedDatabase>();
-  /** Processes of other nodes that were listed when this one started. */
-  readonly #earlier = new Map<string, string>();
+  readonly #options: ClusterStateOptions;
+  readonly #databases = new Map<string, AnnouncedDatabase>();
+  /** Instances of other nodes that were listed when this one started, by node. */
+  readonly #earlierProcesses = new Map<string, string>();
   #catalog: Catalog = EMPTY_CATALOG;
-  #leastPriority = 0;
+  #leastUrgentPriority = 0;
 
-  constructor(options: NodePictureOptions) {
+  constructor(options: ClusterStateOptions) {
     const {clock, log, store} = options;
     this.#options = options;
     this.members = new MemberList({
@@ -75,7 +78,7 @@
       clock,
       log,
       prefix: '',
-      onChange: change => this.#apply(change),
+      onChange: change => this.#applyAndRelay(change),
     });
     this.relay = new FeedRelay(clock, this.feed);
   }
@@ -84,32 +87,32 @@
     return this.#catalog;
   }
 
-  /** The databases that are announced. */
+  /** The databases that are currently announced. */
   get entries(): Iterable<AnnouncedDatabase> {
-    return this.#entries.values();
+    return this.#databases.values();
   }
 
-  /** Whether keys may have lapsed in the store without their owners' fault. */
+  /** True if leases may have lapsed because of the store, not their owners. */
   get mayHaveLapsed(): boolean {
     return this.feed.sinceInterruptionMs() < LAPSE_WINDOW_MS;
   }
 
-  /** The highest number among the priorities of the routes. */
-  get leastPriority(): number {
-    return this.#leastPriority;
+  /** Highest priority number of all routes; 0 is the most urgent. */
+  get leastUrgentPriority(): number {
+    return this.#leastUrgentPriority;
   }
 
-  /** Whether a process from before this one may still be running. */
+  /** True if a process that started before this one may still be running. */
   get hasEarlierProcesses(): boolean {
-    return this.#earlier.size > 0;
+    return this.#earlierProcesses.size > 0;
   }
 
-  #apply(change: FeedChange): void {
-    if (this.#isNews(change)) this.relay.recordChange(change);
+  #applyAndRelay(change: FeedChange): void {
+    if (this.#applyChange(change)) this.relay.recordChange(change);
   }
 
-  /** Takes a change; false where it says nothing new. */
-  #isNews(change: FeedChange): boolean {
+  /** Applies a change; returns false if there is nothing new to relay. */
+  #applyChange(change: FeedChange): boolean {
     const {key, value} = change;
     if (key.startsWith(MEMBER_PREFIX)) {
       this.#applyMember(key.slice(MEMBER_PREFIX.length), value);
@@ -117,14 +120,14 @@
     }
     const decoded = this.#options.decode(change);
     if (decoded?.kind === 'catalog') return this.#applyCatalog(decoded.catalog);
-    if (decoded?.kind === 'database') return this.#applyEntry(decoded);
+    if (decoded?.kind === 'database') return this.#applyDatabase(decoded);
     return false;
   }
 
   #applyMember(id: string, value: string | undefined): void {
     const member = value === undefined ? undefined : decodeMember(value);
     this.members.apply(id, member);
-    this.#noteEarlier(id, member);
+    this.#recordEarlierProcess(id, member);
     this.#options.log.info('memberChanged', {
       id,
       state:
@@ -133,13 +136,13 @@
     });
   }
 
-  #noteEarlier(id: string, member: FleetMember | undefined): void {
-    const isFirstPicture = this.feed.ageMs() === Infinity;
-    const isOther = id !== this.#options.self;
-    if (isFirstPicture && isOther && member !== undefined) {
-      this.#earlier.set(id, member.instance);
-    } else if (member?.instance !== this.#earlier.get(id)) {
-      this.#earlier.delete(id);
+  #recordEarlierProcess(id: string, member: FleetMember | undefined): void {
+    const isInitialSync = this.feed.ageMs() === Infinity;
+    const isOtherNode = id !== this.#options.self;
+    if (isInitialSync && isOtherNode && member !== undefined) {
+      this.#earlierProcesses.set(id, member.instance);
+    } else if (member?.instance !== this.#earlierProcesses.get(id)) {
+      this.#earlierProcesses.delete(id);
     }
   }
 
@@ -152,8 +155,10 @@
       return false;
     }
     this.#catalog = catalog;
-    const priorities = [...catalog.routes.values()].map(one => one.priority);
-    this.#leastPriority = Math.max(0, ...priorities);
+    const priorities = [...catalog.routes.values()].map(
+      route => route.priority,
+    );
+    this.#leastUrgentPriority = Math.max(0, ...priorities);
     this.#options.log.info('catalogInForce', {
       version: catalog.version,
       routes: catalog.routes.size,
@@ -163,9 +168,9 @@
     return true;
   }
 
-  #applyEntry({id, entry}: CatalogChange & {kind: 'database'}): boolean {
-    // Databases renew their entries each second, mostly without a change.
-    if (isDeepStrictEqual(this.#entries.get(id), entry)) return false;
+  #applyDatabase({id, entry}: CatalogChange & {kind: 'database'}): boolean {
+    // Databases renew their announcements every second, mostly unchanged.
+    if (isDeepStrictEqual(this.#databases.get(id), entry)) return false;
     this.#options.log.info('databaseAnnounced', {
       id,
       group: entry?.group,
@@ -173,8 +178,8 @@
       state:
         entry === undefined ? 'gone' : entry.isDraining ? 'draining' : 'ready',
     });
-    if (entry === undefined) this.#entries.delete(id);
-    else this.#entries.set(id, entry);
+    if (entry === undefined) this.#databases.delete(id);
+    else this.#databases.set(id, entry);
     this.#options.onDatabase(id, entry);
     return true;
   }
--- a/src/node/node.ts
+++ b/src/node/node.ts
@@ -1,4 +1,4 @@
-/** One node: entry and home, put together from the library's parts. */
+/** Assembles a node from the library's components. */
 import {randomUUID} from 'node:crypto';
 import {readFileSync} from 'node:fs';
 import {createSecureContext, type SecureContext} from 'node:tls';
@@ -38,16 +38,16 @@
 
 const CANCEL_METHOD = 'callers.cancel';
 const CANCEL_TIMEOUT_MS = 1_000;
-/** How long a starting node may take up budgets before it serves callers. */
+/** Maximum time to claim budgets at start before callers are served. */
 const PREPARE_WAIT_MS = 2_000;
 
-/** The ports of a running node. */
+/** Ports that a running node listens on. */
 export interface NodePorts {
   readonly callers: number;
   readonly admin: number;
 }
 
-/** A node of the fleet. */
+/** A node: the entry of its own callers, and the home of some database groups. */
 export class Node {
   readonly #settings: NodeSettings;
   readonly #log: Logger;
@@ -96,7 +96,7 @@
     );
   }
 
-  /** Opens the ports; resolves once callers are served. */
+  /** Opens the ports; resolves once the node accepts callers. */
   async start(): Promise<NodePorts> {
     const {host, adminPort, vm, dataCentre} = this.#settings;
     await this.#peerServer.listen();
@@ -119,28 +119,28 @@
   }
 
   /**
-   * Leaves the fleet without cutting a request: announces it, lets sessions
-   * and homes finish, hands budget shares back, then closes.
+   * Shuts down without interrupting a request: announces the departure, drains
+   * sessions and homes, returns budget shares, then closes.
    */
   async shutDown(): Promise<void> {
     if (this.#draining) return;
     this.#draining = true;
     const {drainMs} = this.#settings;
     const until = this.#clock.now() + drainMs;
-    const leftMs = () => Math.max(0, until - this.#clock.now());
+    const remainingMs = () => Math.max(0, until - this.#clock.now());
     this.#log.info('shutdownStarted', {sessions: this.#callers.sessions});
     await this.#coordination.leave();
-    // Work of other nodes that began before has as long as the callers here.
+    // Work that other nodes started earlier gets the same drain time as callers.
     this.#homes.refusePeers();
-    const cut = await this.#callers.drain(leftMs());
-    await this.#homes.drain(leftMs());
+    const cut = await this.#callers.drain(remainingMs());
+    await this.#homes.drain(remainingMs());
     await this.#budgets.stop();
-    await this.#peerServer.close(leftMs());
+    await this.#peerServer.close(remainingMs());
     await this.stop();
     this.#log.info('shutdownFinished', {cut});
   }
 
-  /** Stops at once. */
+  /** Stops immediately, without waiting for running work. */
   async stop(): Promise<void> {
     this.#homes.stop();
     this.#admin.close();
@@ -148,11 +148,14 @@
     await this.#coordination.stop();
   }
 
-  /** Within limits: without the store there is nothing to take up. */
+  /**
+   * Claims budgets, but waits no longer than `PREPARE_WAIT_MS`: there is nothing
+   * to claim while the store is unavailable.
+   */
   async #prepareBudgets(): Promise<void> {
     const prepared = this.#budgets.prepare().then(() => true);
-    const late = this.#clock.sleep(PREPARE_WAIT_MS).then(() => false);
-    if (await Promise.race([prepared, late])) return;
+    const timedOut = this.#clock.sleep(PREPARE_WAIT_MS).then(() => false);
+    if (await Promise.race([prepared, timedOut])) return;
     this.#log.warn('budgetsNotPrepared', {waitedMs: PREPARE_WAIT_MS});
   }
 
@@ -272,7 +275,7 @@
     });
   }
 
-  /** Hands a cancel request to the VMs that may have made its key. */
+  /** Forwards a cancel request to the VMs whose hash matches its key. */
   #forwardCancel(key: CancelKey): void {
     const hash = vmHashOf(key);
     for (const member of this.#coordination.members.live()) {
--- a/src/node/peer-ports.ts
+++ b/src/node/peer-ports.ts
@@ -1,4 +1,4 @@
-/** The decisions' ports onto other nodes. */
+/** Adapters by which budgets and failover call other nodes. */
 import type {
   BudgetMessage,
   BudgetPeers,
@@ -12,16 +12,16 @@
 import type {Members} from '../membership/members.js';
 import type {PeerCaller} from '../peers/types.js';
 
-/** The peer method of the budgets. */
+/** Peer method of the budgets. */
 export const BUDGET_METHOD = 'budget';
-const EVIDENCE_TIMEOUT_MS = 250;
+const REACH_TIMEOUT_MS = 250;
 const INSTANCE_SEPARATOR = '/';
-/** Other nodes asked whether they reach a database. */
-const WITNESSES = 2;
+/** Number of nodes asked whether they can reach a database. */
+const MAX_REACHABILITY_PEERS = 2;
 
 /**
- * Calls the budgets of other nodes. A budget's instance is named by its VM and
- * the process on it, so that it can be found and its end be recognised.
+ * Calls the budgets of other nodes. A budget instance is named by its VM and
+ * the process on it, so that its node can be found and a restart detected.
  */
 export class MemberBudgetPeers implements BudgetPeers {
   readonly #members: Members;
@@ -48,35 +48,37 @@
   }
 
   live(): readonly NodeRef[] {
-    return this.#members.live().flatMap(member => this.#refsOf(member));
+    return this.#members.live().flatMap(member => this.#budgetRefs(member));
   }
 
   isGone(instance: string): boolean {
     const member = this.#members.find(vmOf(instance));
     if (member === undefined || member.status === 'dead') return true;
-    const known = this.#processOn(member.id);
+    const known = this.#processInstanceOn(member.id);
     if (known === '') return false;
     const running = budgetInstance(member.id, known);
     return instance !== running && !instance.startsWith(`${running}.`);
   }
 
   homeOrder(key: string): readonly NodeRef[] {
-    return this.#members.homeOrder(key).flatMap(one => this.#refsOf(one));
+    return this.#members
+      .homeOrder(key)
+      .flatMap(member => this.#budgetRefs(member));
   }
 
-  /** Nothing, as long as the process on the VM is not known. */
-  #refsOf({id}: Member): readonly NodeRef[] {
-    const instance = this.#processOn(id);
+  /** Returns no reference until the VM has reported its process. */
+  #budgetRefs({id}: Member): readonly NodeRef[] {
+    const instance = this.#processInstanceOn(id);
     if (instance === '') return [];
     return [{vm: id, instance: budgetInstance(id, instance)}];
   }
 
-  #processOn(vm: string): string {
+  #processInstanceOn(vm: string): string {
     return this.#members.identityOf(vm)?.instance ?? '';
   }
 }
 
-/** Names the budgets of one process on one VM. */
+/** Returns the budget instance of a process: VM id and process instance. */
 export function budgetInstance(vm: string, instance: string): string {
   return `${vm}${INSTANCE_SEPARATOR}${instance}`;
 }
@@ -85,8 +87,8 @@
   return instance.slice(0, instance.lastIndexOf(INSTANCE_SEPARATOR));
 }
 
-/** Asks nodes of other data centres what they reach. */
-export class PeerEvidence implements ReachabilityPort {
+/** Queries other nodes about whether they can reach a database. */
+export class PeerReachability implements ReachabilityPort {
   readonly #members: Members;
   readonly #caller: PeerCaller;
   readonly #dataCentre: string;
@@ -102,12 +104,12 @@
     databaseId: string,
   ): Promise<readonly boolean[]> {
     const answers = await Promise.allSettled(
-      this.#witnesses(group).map(member =>
+      this.#choosePeers(group).map(member =>
         this.#caller.call(
           toPeerAddress(member),
           HOME_METHODS.reach,
           {group, databaseId},
-          {timeoutMs: EVIDENCE_TIMEOUT_MS},
+          {timeoutMs: REACH_TIMEOUT_MS},
         ),
       ),
     );
@@ -116,13 +118,16 @@
     );
   }
 
-  /** Other nodes, those of other data centres first. */
-  #witnesses(group: string): readonly Member[] {
+  /** Chooses nodes to query, preferring those in other data centres. */
+  #choosePeers(group: string): readonly Member[] {
     const others = this.#members
       .homeOrder(`evidence ${group}`)
       .filter(({id}) => id !== this.#members.selfId);
-    const isNear = ({dataCentre}: Member) => dataCentre === this.#dataCentre;
-    const far = others.filter(member => !isNear(member));
-    return [...far, ...others.filter(isNear)].slice(0, WITNESSES);
+    const isLocal = ({dataCentre}: Member) => dataCentre === this.#dataCentre;
+    const remote = others.filter(member => !isLocal(member));
+    return [...remote, ...others.filter(isLocal)].slice(
+      0,
+      MAX_REACHABILITY_PEERS,
+    );
   }
 }
--- a/src/node/renewable-budgets.ts
+++ b/src/node/renewable-budgets.ts
@@ -1,4 +1,4 @@
-/** The node's budgets under an instance that can be replaced. */
+/** Replaces a node's budget instance after it was retired. */
 import {MAX_STANDBYS} from '../admission/allocation.js';
 import {BudgetService} from '../admission/budget-service.js';
 import type {
@@ -12,23 +12,23 @@
 import {sleepToTick} from '../infra/timer.js';
 import type {Logger} from '../telemetry/log.js';
 
-/** What the budgets are built from. */
+/** Dependencies of {@link RenewableBudgets}. */
 export interface RenewableBudgetsOptions {
   readonly deps: BudgetDeps;
   readonly log: Logger;
   /**
-   * The teams of the table in force for which this node is among the first
-   * `count` choices, with its place among them, from 0.
+   * Returns the teams of the current table for which this node ranks among the
+   * first `count` candidate owners, with its rank, from 0.
    */
-  readonly choicesOf: (count: number) => ReadonlyMap<string, number>;
+  readonly teamRanks: (count: number) => ReadonlyMap<string, number>;
 }
 
 const PREPARE_PERIOD_MS = 500;
 
 /**
- * An instance that was retired may never spend again, even if the process was
- * only cut off for a while. The process then goes on under a new instance,
- * which holds nothing at first.
+ * Runs the budgets of all teams under the current instance. A retired instance
+ * may never spend again, even if its process was only partitioned for a while;
+ * the process then continues under a new instance, which holds no shares yet.
  */
 export class RenewableBudgets implements AdmissionPort {
   readonly #options: RenewableBudgetsOptions;
@@ -43,7 +43,7 @@
     this.#service = new BudgetService(options.deps);
   }
 
-  /** Takes a new instance if the present one was retired. */
+  /** Switches to a new instance if the current one was retired. */
   renewIfRetired(): void {
     const {deps, log} = this.#options;
     if (!deps.config.retired().has(this.#instance)) return;
@@ -67,28 +67,28 @@
   start(): void {
     this.#running = true;
     this.#service.start();
-    void this.#prepareRegularly();
+    void this.#prepareLoop();
   }
 
-  /** Hands all shares back. */
+  /** Returns all shares to their owners. */
   async stop(): Promise<void> {
     this.#running = false;
     await this.#service.stop();
   }
 
-  /** Takes up the budgets that this node should own, if they are vacant. */
+  /** Sets the standby teams, and claims unowned budgets that rank this node first. */
   prepare(): Promise<void> {
-    // One more, as the owner may be any of them and is no standby.
-    const choices = this.#options.choicesOf(MAX_STANDBYS + 1);
-    const teams = [...choices.keys()];
+    // One more than the standbys, as any of these nodes may be the owner.
+    const ranks = this.#options.teamRanks(MAX_STANDBYS + 1);
+    const teams = [...ranks.keys()];
     this.#service.setStandbyTeams(teams);
     return this.#service.ensureOwners(
-      teams.filter(team => choices.get(team) === 0),
+      teams.filter(team => ranks.get(team) === 0),
     );
   }
 
-  /** The table and the list of VMs change, so this is repeated. */
-  async #prepareRegularly(): Promise<void> {
+  /** Repeats `prepare`, as the table and the list of VMs change. */
+  async #prepareLoop(): Promise<void> {
     const {clock} = this.#options.deps;
     while (this.#running) {
       await sleepToTick(clock, PREPARE_PERIOD_MS);
--- a/src/node/settings-page.ts
+++ b/src/node/settings-page.ts
@@ -1,8 +1,8 @@
-/** The settings as a page of Markdown, for the operators' reference. */
+/** Formats the settings reference for operators as Markdown. */
 import {describeSettings, type SettingInfo} from './settings.js';
 
 /**
- * Writes the reference of all settings.
+ * Returns the reference of all settings as Markdown.
  *
  * @example
  * await writeFile('docs/settings.md', formatSettingsPage());
--- a/src/node/settings.ts
+++ b/src/node/settings.ts
@@ -1,9 +1,9 @@
-/** The node's settings: flags and `ZINNIA_*` variables, checked once. */
+/** Node settings from flags and `ZINNIA_*` variables, validated at start. */
 import * as z from 'zod';
 import type {PeerAddress} from '../peers/types.js';
 import {DEFAULT_MAX_WAIT_MS} from '../routing/replica-choice.js';
 
-/** How one setting is named and described. */
+/** Names, description and default of a setting. */
 export interface SettingInfo {
   readonly flag: string;
   readonly variable: string;
@@ -15,117 +15,129 @@
 const milliseconds = z.coerce.number().int().min(1).max(3_600_000);
 const secret = z.string().min(16);
 
-/** Each setting: its check, its default as text, and what it is for. */
+/** Each setting with its schema, its default as text and its description. */
 const DEFINITIONS = {
   vm: {
-    check: z.string().min(1).max(64),
-    text: 'Name of this VM, as the platform lists it.',
+    schema: z.string().min(1).max(64),
+    description: 'Name of this VM, as the platform lists it.',
   },
   dataCentre: {
-    check: z.string().min(1).max(64),
-    text: 'Data centre of this VM.',
+    schema: z.string().min(1).max(64),
+    description: 'Data centre of this VM.',
   },
   host: {
-    check: z.string().min(1),
+    schema: z.string().min(1),
     fallback: '127.0.0.1',
-    text: 'IP address to listen on.',
+    description: 'IP address to listen on.',
   },
   port: {
-    check: port,
+    schema: port,
     fallback: '6432',
-    text: 'Port for callers (PostgreSQL protocol).',
+    description: 'Port for callers (PostgreSQL protocol).',
+  },
+  peerPort: {
+    schema: port,
+    fallback: '6433',
+    description: 'Port for other nodes.',
   },
-  peerPort: {check: port, fallback: '6433', text: 'Port for other nodes.'},
   adminPort: {
-    check: port,
+    schema: port,
     fallback: '6434',
-    text: 'Port for operators (HTTP).',
+    description: 'Port for operators (HTTP).',
   },
   store: {
-    check: z
+    schema: z
       .string()
       .regex(/^https?:\/\//, 'must start with http:// or https://'),
-    text: "URL of the platform's key-value service.",
+    description: "URL of the platform's key-value service.",
   },
   seeds: {
-    check: z.string().transform(readSeeds),
+    schema: z.string().transform(readSeeds),
     fallback: '',
-    text: 'Peers to ask when the store is out at start-up: vm@host:port, separated by commas.',
+    description:
+      'Peers to ask when the store is out at start-up: vm@host:port, separated by commas.',
   },
   targetUser: {
-    check: z.string().min(1),
-    text: "The node's own user at the targets.",
+    schema: z.string().min(1),
+    description: "The node's own user at the targets.",
   },
   targetPassword: {
-    check: z.string().min(1),
-    text: "The node's own password at the targets.",
+    schema: z.string().min(1),
+    description: "The node's own password at the targets.",
   },
   tokenSecret: {
-    check: secret,
-    text: 'Secret that signs session tokens; the same on every VM, at least 16 characters.',
+    schema: secret,
+    description:
+      'Secret that signs session tokens; the same on every VM, at least 16 characters.',
   },
   previousTokenSecret: {
-    check: z.union([z.literal(''), secret]),
+    schema: z.union([z.literal(''), secret]),
     fallback: '',
-    text: 'Secret of before, still accepted while it is replaced.',
+    description: 'Secret of before, still accepted while it is replaced.',
   },
   peerSecret: {
-    check: secret,
-    text: 'Secret by which nodes recognise one another, at least 16 characters.',
+    schema: secret,
+    description:
+      'Secret by which nodes recognise one another, at least 16 characters.',
   },
   tlsCert: {
-    check: z.string(),
+    schema: z.string(),
     fallback: '',
-    text: 'PEM file of the certificate for callers; empty serves plain connections only.',
+    description:
+      'PEM file of the certificate for callers; empty serves plain connections only.',
   },
   tlsKey: {
-    check: z.string(),
+    schema: z.string(),
     fallback: '',
-    text: 'PEM file of the key of that certificate.',
+    description: 'PEM file of the key of that certificate.',
   },
   deadlineMs: {
-    check: milliseconds,
+    schema: milliseconds,
     fallback: '5000',
-    text: 'Milliseconds a statement may take, unless the session sets zinnia.deadline_ms.',
+    description:
+      'Milliseconds a statement may take, unless the session sets zinnia.deadline_ms.',
   },
   standingLimitMs: {
-    check: milliseconds,
+    schema: milliseconds,
     fallback: '3000',
-    text: 'Milliseconds without contact after which a node refuses keyed work.',
+    description:
+      'Milliseconds without contact after which a node refuses keyed work.',
   },
   replicaWaitMs: {
-    check: z.coerce.number().int().min(0).max(60_000),
+    schema: z.coerce.number().int().min(0).max(60_000),
     fallback: String(DEFAULT_MAX_WAIT_MS),
-    text: "Milliseconds a read may wait for a replica to show its session's writes before it goes to the primary.",
+    description:
+      "Milliseconds a read may wait for a replica to show its session's writes before it goes to the primary.",
   },
   drainMs: {
-    check: milliseconds,
+    schema: milliseconds,
     fallback: '30000',
-    text: 'Milliseconds that a graceful shutdown waits for running work.',
+    description:
+      'Milliseconds that a graceful shutdown waits for running work.',
   },
   maxCallers: {
-    check: z.coerce.number().int().min(1).max(1_000_000),
+    schema: z.coerce.number().int().min(1).max(1_000_000),
     fallback: '20000',
-    text: 'Caller connections that this node accepts.',
+    description: 'Caller connections that this node accepts.',
   },
   logLevel: {
-    check: z.enum(['silent', 'error', 'warn', 'info', 'debug']),
+    schema: z.enum(['silent', 'error', 'warn', 'info', 'debug']),
     fallback: 'info',
-    text: 'How much is logged.',
+    description: 'How much is logged.',
   },
 } as const satisfies Record<
   string,
-  {check: z.ZodType; fallback?: string; text: string}
+  {schema: z.ZodType; fallback?: string; description: string}
 >;
 
 type Definitions = typeof DEFINITIONS;
 
-/** The node's settings, checked and frozen. */
+/** Validated settings; the object is frozen. */
 export type NodeSettings = {
-  readonly [K in keyof Definitions]: z.output<Definitions[K]['check']>;
+  readonly [K in keyof Definitions]: z.output<Definitions[K]['schema']>;
 };
 
-/** One fault in the settings. */
+/** A missing or invalid setting. */
 export interface SettingFault {
   readonly flag: string;
   readonly variable: string;
@@ -133,7 +145,7 @@
   readonly message: string;
 }
 
-/** The settings could not be used; lists every fault at once. */
+/** Thrown for missing or invalid settings; the message lists all of them. */
 export class SettingsError extends Error {
   constructor(readonly faults: readonly SettingFault[]) {
     super(
@@ -149,20 +161,20 @@
   }
 }
 
-/** Describes every setting, in order. */
+/** Returns the description of every setting, in the order of the reference. */
 export function describeSettings(): readonly SettingInfo[] {
   return Object.entries(DEFINITIONS).map(([name, definition]) => ({
-    flag: kebab(name),
-    variable: `ZINNIA_${kebab(name).toUpperCase().replaceAll('-', '_')}`,
-    description: definition.text,
+    flag: toKebabCase(name),
+    variable: `ZINNIA_${toKebabCase(name).toUpperCase().replaceAll('-', '_')}`,
+    description: definition.description,
     fallback: 'fallback' in definition ? definition.fallback : undefined,
   }));
 }
 
 /**
- * Resolves the settings from flags first, then variables, then defaults.
+ * Resolves each setting from its flag, else its variable, else its default.
  *
- * @param flags values by flag name, as `{'peer-port': '6433'}`
+ * @param flags values by flag name, such as `{'peer-port': '6433'}`
  * @throws SettingsError that lists every fault
  * @example
  * resolveSettings({vm: 'vm1', 'data-centre': 'hobart'}, process.env);
@@ -174,19 +186,19 @@
   const faults: SettingFault[] = [];
   const resolved: Record<string, unknown> = {};
   for (const [name, definition] of Object.entries(DEFINITIONS)) {
-    const flag = kebab(name);
+    const flag = toKebabCase(name);
     const variable = `ZINNIA_${flag.toUpperCase().replaceAll('-', '_')}`;
     const fallback = 'fallback' in definition ? definition.fallback : undefined;
     const value = flags[flag] ?? env[variable] ?? fallback;
-    const parsed = definition.check.safeParse(value);
+    const parsed = definition.schema.safeParse(value);
     if (parsed.success) {
       resolved[name] = parsed.data;
       continue;
     }
     const message =
       value === undefined
-        ? `set it. ${definition.text}`
-        : `${parsed.error.issues[0]?.message}. ${definition.text}`;
+        ? `set it. ${definition.description}`
+        : `${parsed.error.issues[0]?.message}. ${definition.description}`;
     faults.push({flag, variable, value, message});
   }
   if ((resolved['tlsCert'] === '') !== (resolved['tlsKey'] === '')) {
@@ -201,11 +213,11 @@
   return Object.freeze(resolved) as NodeSettings;
 }
 
-function kebab(name: string): string {
+function toKebabCase(name: string): string {
   return name.replace(/[A-Z]/g, letter => `-${letter.toLowerCase()}`);
 }
 
-/** Reads `vm@host:port,...`. */
+/** Parses `vm@host:port,...`. */
 function readSeeds(text: string, ctx: z.RefinementCtx): readonly PeerAddress[] {
   const items = text.split(',').filter(item => item.trim() !== '');
   return items.flatMap(item => {
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -1,4 +1,4 @@
-/** A node that serves a statement protocol, put together from its parts. */
+/** Assembles a node that serves the statement protocol. */
 import {randomUUID} from 'node:crypto';
 import {setMaxListeners} from 'node:events';
 import type {Route} from '../catalog/types.js';
@@ -35,29 +35,33 @@
 import {NodeMetrics, type NodeGauges} from '../telemetry/node-metrics.js';
 import type {NotRun} from '../verdict/verdict.js';
 import {NodeBudgets} from './node-budgets.js';
-import {NodePicture, type CatalogChange} from './node-picture.js';
-import {NodePlaces} from './node-places.js';
+import {ClusterState, type CatalogChange} from './node-picture.js';
+import {WorkPlacement} from './work-placement.js';
 
 const RELEASE_TIMEOUT_MS = 1_000;
-/** Peers are silent or lost sooner than a statement gives up on them. */
+/** A peer counts as unreachable before a statement that waits for it times out. */
 const PEER_CONNECT_TIMEOUT_MS = 400;
 /**
- * Age of the configuration after which new callers are better served by other
- * nodes: keyed work ends here soon, and a probe takes two seconds to count.
+ * Age of the configuration above which the node reports not ready. Keyed work
+ * is refused soon after, and a failed readiness probe takes two seconds to
+ * move new callers to other nodes.
  */
-const READY_LIMIT_MS = 2_400;
-/** Longest wait of a starting node for the configuration. */
-const FIRST_CATALOG_MS = 1_500;
-const FIRST_CATALOG_POLL_MS = 10;
-/** New callers stop coming two missed probes, one second apart, later. */
-const ROTATION_MS = 2_600;
-/** The same as a part of a short grace. */
-const ROTATION_SHARE = 0.45;
+const MAX_READY_CATALOG_AGE_MS = 2_400;
+/** Maximum time that a starting node waits for the configuration. */
+const CATALOG_WAIT_MS = 1_500;
+const CATALOG_POLL_MS = 10;
+/**
+ * Time until a load balancer sends no new callers: two failed readiness probes,
+ * one second apart.
+ */
+const DEREGISTRATION_MS = 2_600;
+/** Part of the grace period that limits `DEREGISTRATION_MS` if it is short. */
+const DEREGISTRATION_RATIO = 0.45;
 const STOP_POLL_MS = 50;
-/** Left of the grace for closing what is open. */
-const STOP_RESERVE_MS = 500;
+/** End of the grace period that is reserved for closing open sessions. */
+const CLOSE_RESERVE_MS = 500;
 
-/** Settings and ports of a node. */
+/** Settings and dependencies of a node. */
 export interface StatementNodeOptions {
   readonly id: string;
   readonly host: string;
@@ -65,41 +69,41 @@
   /** Port for other nodes. */
   readonly peerPort: number;
   readonly cores: number;
-  /** Age of the configuration after which keyed work is refused. */
+  /** Age of the configuration above which keyed work is refused. */
   readonly keyLimitMs: number;
-  /** Length of the windows for which the teams' limits hold. */
+  /** Length of the sliding window of the teams' limits, in milliseconds. */
   readonly rateWindowMs: number;
-  /** The shortest lease that the store grants, in milliseconds. */
+  /** Shortest lease that the store grants, in milliseconds. */
   readonly minLeaseMs: number;
-  /** Time from the order to stop until the process is killed. */
+  /** Time between the request to shut down and the kill of the process. */
   readonly graceMs: number;
   readonly log: Logger;
   readonly store: LeasedStore;
-  /** Decodes a change of the store; undefined where it concerns others. */
+  /** Decodes a change of the store; undefined if the key is not relevant. */
   readonly decode: (change: FeedChange) => CatalogChange | undefined;
   readonly connector: StatementConnector;
   readonly orders: FailoverOrders;
 }
 
-/** The sessions of the callers of this node. */
+/** The caller sessions of this node, as the shutdown controls them. */
 export interface CallerSessions {
-  /** Sessions that are open. */
+  /** Number of open sessions. */
   readonly open: number;
-  /** Closes sessions that have neither a request nor a transaction open. */
+  /** Closes sessions without a running request or an open transaction. */
   closeIdle(): void;
-  /** Rolls the open transactions back. */
+  /** Rolls back the open transactions. */
   breakTransactions(): void;
-  /** Takes no new callers and closes every session. */
+  /** Stops accepting callers and closes every session. */
   close(): void;
 }
 
-/** The outcome of opening a session. */
+/** Result of opening a session. */
 export type SessionOpening =
   | {readonly kind: 'opened'; readonly session: StatementSession}
   | {readonly kind: 'refused'; readonly verdict: NotRun};
 
 /**
- * Entry and home of one node.
+ * A node: the entry of its own callers, and the home of some database groups.
  *
  * @example
  * const node = new StatementNode(options);
@@ -113,12 +117,12 @@
   readonly #stopping = new AbortController();
   readonly #peers: PeerPool;
   readonly #peerServer: PeerServer;
-  readonly #picture: NodePicture;
-  readonly #places: NodePlaces;
+  readonly #cluster: ClusterState;
+  readonly #placement: WorkPlacement;
   readonly #lease: MemberLease;
   readonly #budgets: NodeBudgets;
   readonly #homes: StatementHomes;
-  readonly #watch: HomeMonitor;
+  readonly #homeMonitor: HomeMonitor;
   readonly #sessionContext: SessionContext;
   readonly #startedAt = this.#clock.now();
   #isLeaving = false;
@@ -127,15 +131,15 @@
     const {id, host, log, store} = options;
     const clock = this.#clock;
     this.#options = options;
-    // Every call under way listens to it.
+    // Every running call adds a listener; lifts the limit for the leak warning.
     setMaxListeners(0, this.#stopping.signal);
     this.#peers = new PeerPool({
       self: id,
       clock,
       connectTimeoutMs: PEER_CONNECT_TIMEOUT_MS,
     });
-    this.#watch = new HomeMonitor({clock, peers: this.#peers, log});
-    this.#picture = new NodePicture({
+    this.#homeMonitor = new HomeMonitor({clock, peers: this.#peers, log});
+    this.#cluster = new ClusterState({
       clock,
       log,
       self: id,
@@ -143,33 +147,33 @@
         store,
         peers: this.#peers,
         log,
-        watchers: () => this.#places.watchersToAsk(),
+        watchers: () => this.#placement.watchersToQuery(),
       }),
       decode: options.decode,
       onDatabase: (database, entry) =>
         this.#homes.applyDatabase(database, entry),
     });
-    this.#places = new NodePlaces({
+    this.#placement = new WorkPlacement({
       self: id,
       dataCentre: options.dataCentre,
-      picture: this.#picture,
-      watch: this.#watch,
+      clusterState: this.#cluster,
+      homeMonitor: this.#homeMonitor,
     });
     this.#lease = new MemberLease({
       store,
       clock,
       log,
-      self: this.#describe(),
+      self: this.#createMember(),
       minTtlMs: options.minLeaseMs,
     });
     this.#budgets = new NodeBudgets({
       clock,
       log,
       self: id,
-      picture: this.#picture,
-      places: this.#places,
+      clusterState: this.#cluster,
+      placement: this.#placement,
       lease: this.#lease,
-      watch: this.#watch,
+      homeMonitor: this.#homeMonitor,
       peers: this.#peers,
       windowMs: options.rateWindowMs,
       signal: this.#stopping.signal,
@@ -184,52 +188,52 @@
       handlers: new Map<string, PeerHandler>([
         ...this.#homes.handlers,
         [PING_METHOD, async () => true],
-        [RELAY_METHOD, async body => this.#picture.relay.serve(body)],
+        [RELAY_METHOD, async body => this.#cluster.relay.serve(body)],
         ...this.#budgets.handlers,
       ]),
     });
   }
 
-  /** What the metrics read of this node, but for its callers' sessions. */
+  /** Gauges for the metrics, except the number of sessions. */
   get gauges(): Omit<NodeGauges, 'sessions'> {
     return {
-      catalogAgeMs: () => this.#picture.feed.ageMs(),
-      catalogVersion: () => this.#picture.catalog.version,
-      members: () => this.#picture.members.live().length,
+      catalogAgeMs: () => this.#cluster.feed.ageMs(),
+      catalogVersion: () => this.#cluster.catalog.version,
+      members: () => this.#cluster.members.live().length,
       homeActive: () => this.#homes.active,
     };
   }
 
-  /** Whether new callers are served well here. */
+  /** True if the node is ready for new callers. */
   get isReady(): boolean {
-    const isFresh = this.#picture.feed.ageMs() <= READY_LIMIT_MS;
-    return !this.#isLeaving && isFresh && this.#picture.catalog.version > 0;
+    const isFresh = this.#cluster.feed.ageMs() <= MAX_READY_CATALOG_AGE_MS;
+    return !this.#isLeaving && isFresh && this.#cluster.catalog.version > 0;
   }
 
   /**
-   * Opens the port for other nodes and joins the fleet; resolves once the
-   * configuration is known, or can't be had soon.
+   * Opens the peer port and joins the fleet. Resolves once the configuration has
+   * arrived, or after `CATALOG_WAIT_MS` without one.
    */
   async start(): Promise<void> {
     const {signal} = this.#stopping;
     await this.#peerServer.listen();
-    void this.#picture.feed.run(signal);
+    void this.#cluster.feed.run(signal);
     void this.#lease.run(signal);
-    void this.#watch.run(signal);
+    void this.#homeMonitor.run(signal);
     this.#homes.start();
     const {id, host, peerPort, dataCentre} = this.#options;
-    await this.#firstCatalog();
+    await this.#waitForCatalog();
     this.#options.log.info('nodeStarted', {
       id,
       host,
       peerPort,
       dataCentre,
-      version: this.#picture.catalog.version,
+      version: this.#cluster.catalog.version,
       tookMs: Math.round(this.#clock.now() - this.#startedAt),
     });
   }
 
-  /** Opens a session for a caller, or says why not. */
+  /** Opens a session for a caller, or returns the reason for the refusal. */
   openSession(credentials: Credentials): SessionOpening {
     const access = this.#sessionContext.access.check(credentials);
     if (access.kind === 'refused') {
@@ -247,8 +251,9 @@
   }
 
   /**
-   * Leaves without cutting a request: hands homes over, lets callers' requests
-   * and half of the time later their transactions end, then stops.
+   * Leaves the fleet without interrupting a request. Homes move to other nodes,
+   * requests may finish, and transactions that are still open after half of the
+   * grace period are rolled back. Then stops.
    */
   async shutDown(callers: CallerSessions): Promise<void> {
     if (this.#isLeaving) return;
@@ -263,15 +268,15 @@
         log.warn('leavingNotAnnounced', {message: String(err)}),
       );
     this.#homes.refuseNew();
-    const rotatedAt =
-      startedAt + Math.min(ROTATION_MS, graceMs * ROTATION_SHARE);
+    const deregisteredAt =
+      startedAt + Math.min(DEREGISTRATION_MS, graceMs * DEREGISTRATION_RATIO);
     const transactionsEndAt = startedAt + graceMs / 2;
-    const endAt = startedAt + graceMs - STOP_RESERVE_MS;
+    const endAt = startedAt + graceMs - CLOSE_RESERVE_MS;
     while (clock.now() < endAt) {
       if (clock.now() >= transactionsEndAt) callers.breakTransactions();
-      if (clock.now() >= rotatedAt) callers.closeIdle();
-      const isDone = callers.open === 0 && this.#homes.active === 0;
-      if (isDone && clock.now() >= rotatedAt) break;
+      if (clock.now() >= deregisteredAt) callers.closeIdle();
+      const isIdle = callers.open === 0 && this.#homes.active === 0;
+      if (isIdle && clock.now() >= deregisteredAt) break;
       await clock.sleep(STOP_POLL_MS);
     }
     callers.close();
@@ -282,7 +287,7 @@
     });
   }
 
-  /** Stops at once. */
+  /** Stops immediately, without waiting for running work. */
   async stop(): Promise<void> {
     this.#stopping.abort();
     this.#homes.stop();
@@ -296,14 +301,14 @@
     this.#peers.close();
   }
 
-  async #firstCatalog(): Promise<void> {
-    const until = this.#clock.now() + FIRST_CATALOG_MS;
-    while (this.#picture.catalog.version === 0 && this.#clock.now() < until) {
-      await this.#clock.sleep(FIRST_CATALOG_POLL_MS);
+  async #waitForCatalog(): Promise<void> {
+    const until = this.#clock.now() + CATALOG_WAIT_MS;
+    while (this.#cluster.catalog.version === 0 && this.#clock.now() < until) {
+      await this.#clock.sleep(CATALOG_POLL_MS);
     }
   }
 
-  #describe(): FleetMember {
+  #createMember(): FleetMember {
     const {id, host, peerPort: port, dataCentre, cores} = this.#options;
     const instance = randomUUID().slice(0, 8);
     return {id, host, port, dataCentre, instance, cores, isLeaving: false};
@@ -319,8 +324,8 @@
       dataCentre,
       connector,
       orders,
-      catalog: () => this.#picture.catalog,
-      entries: () => this.#picture.entries,
+      catalog: () => this.#cluster.catalog,
+      entries: () => this.#cluster.entries,
       quota: this.#budgets.holder,
       failoverLease: new FailoverLease({
         store,
@@ -328,10 +333,10 @@
         self: id,
         lease: () => this.#lease.id,
       }),
-      isFirstHome: group => this.#places.isFirstHome(group),
-      readerIn: (group, place) => this.#places.readerIn(group, place)?.id,
-      isResponsible: group => this.#places.isResponsible(group),
-      mayHaveLapsed: () => this.#picture.mayHaveLapsed,
+      isFirstHome: group => this.#placement.isFirstHome(group),
+      readerIn: (group, place) => this.#placement.readerIn(group, place)?.id,
+      isResponsible: group => this.#placement.isResponsible(group),
+      mayHaveLapsed: () => this.#cluster.mayHaveLapsed,
     });
   }
 
@@ -341,8 +346,8 @@
       clock: this.#clock,
       log,
       access: new AccessGate({
-        catalog: () => this.#picture.catalog,
-        ageMs: () => this.#picture.feed.ageMs(),
+        catalog: () => this.#cluster.catalog,
+        ageMs: () => this.#cluster.feed.ageMs(),
         maxCatalogAgeMs: keyLimitMs,
       }),
       forwarder: new HomeForwarder<StatementRequest, StatementResult, never>({
@@ -352,14 +357,14 @@
         local: this.#homes,
         method: STATEMENT_METHODS.run,
         codec: {encode: encodeRequest, decode: decodeResult},
-        homeOrder: group => this.#places.homeOrder(group).map(peerAddressOf),
-        readerOf: req => this.#places.readerOf(req),
+        homeOrder: group => this.#placement.homeOrder(group).map(peerAddressOf),
+        readerOf: req => this.#placement.readerOf(req),
         findNode: node => {
-          const member = this.#picture.members.find(node);
+          const member = this.#cluster.members.find(node);
           return member && peerAddressOf(member);
         },
         failed: verdict => failedStatement(verdict),
-        watch: this.#watch,
+        watch: this.#homeMonitor,
       }),
       release: (group, pin) => this.#release(group, pin),
       observe: end => this.metrics.observe(end),
@@ -367,22 +372,22 @@
     };
   }
 
-  /** The most urgent routes of the catalog go first, where they differ. */
+  /** Returns `urgent` unless the route has the least urgent priority of all. */
   #priorityOf({priority}: Route): Priority {
-    return priority < this.#picture.leastPriority ? 'urgent' : 'ordinary';
+    return priority < this.#cluster.leastUrgentPriority ? 'urgent' : 'ordinary';
   }
 
   #release(group: string, pin: string): void {
     const {node, local} = splitPin(pin);
     if (node === this.#options.id) return this.#homes.release(group, local);
-    const member = this.#picture.members.find(node);
+    const member = this.#cluster.members.find(node);
     if (member === undefined) return;
     const body = {group, pin: local};
     const options = {timeoutMs: RELEASE_TIMEOUT_MS};
     this.#peers
       .call(peerAddressOf(member), STATEMENT_METHODS.release, body, options)
       .catch((err: unknown) =>
-        // The home rolls it back by itself once it stood idle for too long.
+        // The home rolls the transaction back after its idle timeout.
         this.#options.log.warn('releaseNotDelivered', {
           group,
           home: node,
--- a/test/library.test.ts
+++ b/test/library.test.ts
@@ -13,8 +13,8 @@
 import {createLogger} from '../src/telemetry/log.js';
 import {VirtualClock} from './fakes/virtual-clock.js';
 
-describe('the library, as an embedding program uses it', () => {
-  it('places a read by a certificate of its primary', () => {
+describe('the library, as used by an embedding program', () => {
+  it('places a read by a position certificate of the primary', () => {
     const leadership = new Leadership();
     leadership.recordProof('db-1', 3, 0);
     const certificates = new PositionCertificates();
@@ -41,7 +41,7 @@
     expect(placeRead(input)).toEqual(['db-2', 'db-1']);
   });
 
-  it('admits operations by tokens that an owner grants', async () => {
+  it('admits operations by tokens granted by an owner', async () => {
     const clock = new VirtualClock();
     const limits = () => ({rate: 10, burst: 2});
     const owner = new BudgetOwner({
@@ -62,7 +62,7 @@
     expect(kinds).toEqual(['admitted', 'admitted', 'refused']);
   });
 
-  it('bounds what a team spends in any window', async () => {
+  it('limits the tokens that a team spends in any window', async () => {
     const clock = new VirtualClock();
     const budget = new WindowBudget({
       clock,
@@ -80,7 +80,7 @@
     expect(budget.msUntilToken()).toBeGreaterThan(0);
   });
 
-  it('chooses the same few watchers on every node', () => {
+  it('chooses the same four watchers whatever the order of the members', () => {
     const fleet = Array.from({length: 120}, (_, n): FleetMember => ({
       id: `node-${n}`,
       host: '10.0.0.1',
--- a/test/node/admin-server.test.ts
+++ b/test/node/admin-server.test.ts
@@ -13,7 +13,7 @@
 let lines: string[];
 const switchPrimary = vi.fn();
 
-/** The node's parts that these routes ask; the others are not reached. */
+/** Only the dependencies that the tested routes use. */
 const DEPS = {
   vm: 'vm1',
   budgets: {
@@ -26,7 +26,7 @@
   homes: {switchPrimary},
   metrics: {slices: (since: number) => [since]},
   isDraining: () => {
-    throw new Error('no member is known');
+    throw new Error('not used');
   },
 } as unknown as AdminDeps;
 
@@ -48,15 +48,20 @@
 }
 
 test.each([
-  ['a time that is none', '/statements?since=noon', undefined, 'since'],
-  ['a blank time', '/statements?since=', undefined, 'since'],
-  ['broken json', '/switch', '{"group"', 'body'],
-  ['a long body', '/switch', `"${'x'.repeat(70_000)}"`, 'body'],
+  ['an invalid time', '/statements?since=noon', undefined, 'since'],
+  ['an empty time', '/statements?since=', undefined, 'since'],
+  ['malformed JSON', '/switch', '{"group"', 'body'],
+  ['a body over the limit', '/switch', `"${'x'.repeat(70_000)}"`, 'body'],
   ['an array', '/switch', '["claims"]', 'group'],
   ['no body', '/switch', '', 'group'],
-  ['a number', '/switch', JSON.stringify({...SWITCH, group: 7}), 'group'],
-  ['half an order', '/switch', '{"group":"claims"}', 'databaseId'],
-])('answers %s with 400, the field and what to do', async (...input) => {
+  [
+    'a number as a name',
+    '/switch',
+    JSON.stringify({...SWITCH, group: 7}),
+    'group',
+  ],
+  ['a missing field', '/switch', '{"group":"claims"}', 'databaseId'],
+])('answers %s with 400, the field and a remedy', async (...input) => {
   const [, path, body, field] = input;
   const answer = await request(path, body);
   const error = expect.stringMatching(/\w/);
@@ -65,7 +70,7 @@
   expect(switchPrimary).not.toHaveBeenCalled();
 });
 
-test('answers an internal error with 500 and logs it as an event', async () => {
+test('answers an internal error with 500 and logs it', async () => {
   switchPrimary.mockRejectedValue(new TypeError('a home broke'));
   expect(await request('/switch', JSON.stringify(SWITCH))).toEqual({
     status: 500,
@@ -76,7 +81,7 @@
   );
 });
 
-test('answers an answer that is no json with 500', async () => {
+test('answers with 500 if a result can not be encoded as JSON', async () => {
   switchPrimary.mockResolvedValue({term: 1n});
   const {status} = await request('/switch', JSON.stringify(SWITCH));
   expect(status).toBe(500);
@@ -91,7 +96,7 @@
   expect(status).toBe(404);
 });
 
-test('gives the shares of a budget as parts of the whole', async () => {
+test('reports the shares of a budget as fractions of 1', async () => {
   expect((await request('/budgets')).body).toEqual([
     {team: 'lab', epoch: 2, share: {rate: 1, burst: 0.25}, tokens: 7.3},
   ]);
--- a/test/node/peer-ports.test.ts
+++ b/test/node/peer-ports.test.ts
@@ -17,12 +17,12 @@
   return {members, peers: new MemberBudgetPeers(members, caller)};
 }
 
-test('does not take an instance for gone whose vm has not been heard yet', () => {
+test('does not report an instance as gone before its vm has reported its process', () => {
   const {peers} = createPeers();
   expect(peers.isGone('vm2/b')).toBe(false);
 });
 
-test('takes an instance for gone once its vm runs another or is unknown', () => {
+test('reports an instance as gone once its vm runs another or is unknown', () => {
   const {members, peers} = createPeers();
   const identity = {incarnation: 0, status: 'alive'} as const;
   members.applySelfReport('vm2', {...identity, instance: 'b'}, 0);
@@ -33,7 +33,7 @@
   expect(peers.isGone('vm9/x')).toBe(true);
 });
 
-test('names only vms as owners whose process is known', () => {
+test('lists only vms that have reported their process', () => {
   const {members, peers} = createPeers();
   expect(peers.live().map(({vm: id}) => id)).toEqual(['vm1']);
   members.applySelfReport(
