--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -15,7 +15,7 @@
 const TAKE_METHOD = 'quota.take';
 /** Timeout of a request to a budget's owner. */
 const TAKE_TIMEOUT_MS = 150;
-/** Nodes that start within this interval of one another restarted together. */
+/** Nodes that start this close to one another count as restarted together. */
 const FLEET_RESTART_WINDOW_MS = 6_000;
 
 /** Dependencies of {@link NodeBudgets}. */
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -55,7 +55,7 @@
  * one second apart.
  */
 const DEREGISTRATION_MS = 2_600;
-/** Part of the grace period that limits `DEREGISTRATION_MS` if it is short. */
+/** Limits `DEREGISTRATION_MS` to this part of the grace period. */
 const DEREGISTRATION_RATIO = 0.45;
 const STOP_POLL_MS = 50;
 /** End of the grace period that is reserved for closing open sessions. */
@@ -334,7 +334,8 @@
         lease: () => this.#lease.id,
       }),
       isFirstHome: group => this.#placement.isFirstHome(group),
-      readerIn: (group, place) => this.#placement.readerIn(group, place)?.id,
+      readerIn: (group, location) =>
+        this.#placement.readerIn(group, location)?.id,
       isResponsible: group => this.#placement.isResponsible(group),
       mayHaveLapsed: () => this.#cluster.mayHaveLapsed,
     });
--- a/src/node/work-placement.ts
+++ b/src/node/work-placement.ts
@@ -18,8 +18,8 @@
 }
 
 /**
- * Chooses nodes by rendezvous hashing over the members, skipping silent nodes
- * where stated.
+ * Ranks the members for each kind of work. Only the methods that say so skip
+ * silent nodes.
  *
  * @example
  * const [home] = placement.homeOrder('claims');
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Returns the nodes in order of preference as a group's home. Those in the
-   * primary's data centre come first: every write and most bytes go there.
+   * Returns the nodes in order of preference as a group's home. Prefers the
+   * primary's data centre: every write and most bytes go there.
    */
   homeOrder(group: string): readonly FleetMember[] {
     const {members} = this.#options.clusterState;
@@ -75,7 +75,7 @@
     return this.#options.clusterState.members.homeOrder(`budget ${team}`);
   }
 
-  /** Returns the watchers to query; empty if this node is itself a watcher. */
+  /** Returns the watchers to query, without silent ones; none for a watcher itself. */
   watchersToQuery(): readonly PeerAddress[] {
     const {self: id, dataCentre, clusterState, homeMonitor} = this.#options;
     const watchers = chooseWatchers(clusterState.members.live());
