--- a/src/groups/failover-agent.ts
+++ b/src/groups/failover-agent.ts
@@ -120,8 +120,8 @@
     const {clock, monitor} = this.#options;
     const {signal} = this.#stopping;
     if (failures > 0) return clock.sleep(this.#backoffMs(failures), signal);
-    const {isDegraded: isUneasy} = monitor;
-    const periodMs = isUneasy ? CHECK_PERIOD_MS : HEALTHY_CHECK_PERIOD_MS;
+    const {isDegraded} = monitor;
+    const periodMs = isDegraded ? CHECK_PERIOD_MS : HEALTHY_CHECK_PERIOD_MS;
     return sleepToTick(clock, periodMs, signal);
   }
 
@@ -169,7 +169,7 @@
   }
 
   async #assess(): Promise<FailoverNeed> {
-    const {clock, monitor, reachability: evidence} = this.#options;
+    const {clock, monitor, reachability} = this.#options;
     const view = monitor.current();
     const suspicion = suspect(view);
     const needsPeerVotes =
@@ -177,7 +177,7 @@
       suspicion.cause === 'primaryUnreachable';
     if (needsPeerVotes && clock.now() < this.#peerRecheckAt)
       return {kind: 'healthy'};
-    const need = await assessFailoverNeed(view, evidence);
+    const need = await assessFailoverNeed(view, reachability);
     if (need.kind !== 'linkFault') return need;
     this.#peerRecheckAt = clock.now() + LINK_FAULT_RECHECK_MS;
     this.#options.onEvent?.(need);
--- a/src/groups/failover-coordinator.ts
+++ b/src/groups/failover-coordinator.ts
@@ -244,8 +244,8 @@
   }
 
   async #promote(databaseId: string): Promise<void> {
-    const {failoverLease: duty, orders, group, self, log} = this.#options;
-    const token = await duty.acquireToken(group);
+    const {failoverLease, orders, group, self, log} = this.#options;
+    const token = await failoverLease.acquireToken(group);
     if (token === undefined) return;
     const outcome = await orders.promote({
       group,
@@ -355,7 +355,7 @@
   databases: readonly TrackedDatabase[],
 ): readonly LogEnd[] {
   return databases.flatMap(
-    ({id, isSuspect, visiblePosition: shown}): readonly LogEnd[] =>
-      isSuspect || shown === undefined ? [] : [[id, shown]],
+    ({id, isSuspect, visiblePosition}): readonly LogEnd[] =>
+      isSuspect || visiblePosition === undefined ? [] : [[id, visiblePosition]],
   );
 }
--- a/src/home/certified-home.ts
+++ b/src/home/certified-home.ts
@@ -357,21 +357,14 @@
   }
 
   #createKeeper(): FailoverCoordinator {
-    const {
-      clock,
-      log,
-      group,
-      self,
-      failoverLease: duty,
-      orders,
-      isResponsible,
-    } = this.#options;
+    const {clock, log, group, self, failoverLease, orders, isResponsible} =
+      this.#options;
     return new FailoverCoordinator({
       clock,
       log,
       group,
       self,
-      failoverLease: duty,
+      failoverLease,
       orders,
       leadership: this.#leadership,
       databases: () => {
--- a/src/home/group-databases.ts
+++ b/src/home/group-databases.ts
@@ -194,8 +194,8 @@
   async #abandonSilent(): Promise<void> {
     const {signal} = this.#stopping;
     while (!signal.aborted) {
-      const {isDegraded: isUneasy} = this.monitor;
-      const periodMs = isUneasy ? ABANDON_CHECK_MS : HEALTHY_ABANDON_CHECK_MS;
+      const {isDegraded} = this.monitor;
+      const periodMs = isDegraded ? ABANDON_CHECK_MS : HEALTHY_ABANDON_CHECK_MS;
       await sleepToTick(this.clock, periodMs, signal);
       if (!this.monitor.isDegraded) continue;
       for (const {spec, unreachableMs} of this.view().databases) {
--- a/src/membership/coordination.ts
+++ b/src/membership/coordination.ts
@@ -66,21 +66,25 @@
     this.storeContact = new StoreContact(clock);
     const instance = options.instance ?? randomUUID().slice(0, 8);
     this.members = new Members({self, instance, clock});
-    const {storeContact: contact, documents, members} = this;
-    this.standing = new StandingMonitor({contact, members, limitMs});
+    const {storeContact, documents, members} = this;
+    this.standing = new StandingMonitor({
+      contact: storeContact,
+      members,
+      limitMs,
+    });
     // Registered before dissemination, so that the first push already has
     // the listed VMs as receivers.
     documents.onChange(version => this.#applyVmList(version));
-    const common = {...options, contact, documents, members};
+    const common = {...options, contact: storeContact, documents, members};
     const dissemination = new Dissemination(common);
     this.#prober = new Prober(common);
     this.#exchange = new Exchange({
       ...common,
       sections: [
         dissemination.section,
-        new StoreContactSection(contact),
+        new StoreContactSection(storeContact),
         new MembersSection(members, options.random),
-        new LastContactSection(members, contact),
+        new LastContactSection(members, storeContact),
       ],
     });
     this.#watcher = new StoreWatcher({
--- a/src/node/node-picture.ts
+++ b/src/node/cluster-state.ts
@@ -21,7 +21,7 @@
 const LAPSE_WINDOW_MS = 10_000;
 
 /** A decoded change of the store. */
-export type CatalogChange =
+export type ClusterStateChange =
   | {readonly kind: 'catalog'; readonly catalog: Catalog}
   | {
       readonly kind: 'database';
@@ -37,7 +37,7 @@
   readonly self: string;
   readonly store: Pick<LeasedStore, 'list' | 'changes'>;
   /** Decodes a change of the store; undefined if the key is not relevant. */
-  readonly decode: (change: FeedChange) => CatalogChange | undefined;
+  readonly decode: (change: FeedChange) => ClusterStateChange | undefined;
   /** Called when a database's announcement changes or disappears. */
   readonly onDatabase: (
     id: string,
@@ -168,7 +168,10 @@
     return true;
   }
 
-  #applyDatabase({id, entry}: CatalogChange & {kind: 'database'}): boolean {
+  #applyDatabase({
+    id,
+    entry,
+  }: ClusterStateChange & {kind: 'database'}): boolean {
     // Databases renew their announcements every second, mostly unchanged.
     if (isDeepStrictEqual(this.#databases.get(id), entry)) return false;
     this.#options.log.info('databaseAnnounced', {
--- a/src/node/node-budgets.ts
+++ b/src/node/node-budgets.ts
@@ -8,7 +8,7 @@
 import {BudgetOwner, type BudgetRole} from '../quota/budget-owner.js';
 import type {TokenReply, TokenRequest} from '../quota/types.js';
 import type {Logger} from '../telemetry/log.js';
-import type {ClusterState} from './node-picture.js';
+import type {ClusterState} from './cluster-state.js';
 import type {WorkPlacement} from './work-placement.js';
 
 /** Peer method by which holders request tokens. */
--- a/src/node/statement-node.ts
+++ b/src/node/statement-node.ts
@@ -35,7 +35,7 @@
 import {NodeMetrics, type NodeGauges} from '../telemetry/node-metrics.js';
 import type {NotRun} from '../verdict/verdict.js';
 import {NodeBudgets} from './node-budgets.js';
-import {ClusterState, type CatalogChange} from './node-picture.js';
+import {ClusterState, type ClusterStateChange} from './cluster-state.js';
 import {WorkPlacement} from './work-placement.js';
 
 const RELEASE_TIMEOUT_MS = 1_000;
@@ -70,7 +70,7 @@
   readonly peerPort: number;
   readonly cores: number;
   /** Age of the configuration above which keyed work is refused. */
-  readonly keyLimitMs: number;
+  readonly maxCatalogAgeMs: number;
   /** Length of the sliding window of the teams' limits, in milliseconds. */
   readonly rateWindowMs: number;
   /** Shortest lease that the store grants, in milliseconds. */
@@ -80,7 +80,7 @@
   readonly log: Logger;
   readonly store: LeasedStore;
   /** Decodes a change of the store; undefined if the key is not relevant. */
-  readonly decode: (change: FeedChange) => CatalogChange | undefined;
+  readonly decode: (change: FeedChange) => ClusterStateChange | undefined;
   readonly connector: StatementConnector;
   readonly orders: FailoverOrders;
 }
@@ -92,7 +92,7 @@
   /** Closes sessions without a running request or an open transaction. */
   closeIdle(): void;
   /** Rolls back the open transactions. */
-  breakTransactions(): void;
+  rollBackTransactions(): void;
   /** Stops accepting callers and closes every session. */
   close(): void;
 }
@@ -273,7 +273,7 @@
     const transactionsEndAt = startedAt + graceMs / 2;
     const endAt = startedAt + graceMs - CLOSE_RESERVE_MS;
     while (clock.now() < endAt) {
-      if (clock.now() >= transactionsEndAt) callers.breakTransactions();
+      if (clock.now() >= transactionsEndAt) callers.rollBackTransactions();
       if (clock.now() >= deregisteredAt) callers.closeIdle();
       const isIdle = callers.open === 0 && this.#homes.active === 0;
       if (isIdle && clock.now() >= deregisteredAt) break;
@@ -342,14 +342,14 @@
   }
 
   #createSessionContext(): SessionContext {
-    const {id, log, keyLimitMs} = this.#options;
+    const {id, log, maxCatalogAgeMs} = this.#options;
     return {
       clock: this.#clock,
       log,
       access: new AccessGate({
         catalog: () => this.#cluster.catalog,
         ageMs: () => this.#cluster.feed.ageMs(),
-        maxCatalogAgeMs: keyLimitMs,
+        maxCatalogAgeMs,
       }),
       forwarder: new HomeForwarder<StatementRequest, StatementResult, never>({
         self: id,
--- a/src/node/work-placement.ts
+++ b/src/node/work-placement.ts
@@ -6,7 +6,7 @@
 import type {HomeMonitor} from '../home/home-monitor.js';
 import type {PeerAddress} from '../peers/types.js';
 import {chooseNearbyReader} from '../routing/nearby-reader.js';
-import type {ClusterState} from './node-picture.js';
+import type {ClusterState} from './cluster-state.js';
 
 /** Dependencies of {@link WorkPlacement}. */
 export interface WorkPlacementOptions {
--- a/src/routing/read-placement.ts
+++ b/src/routing/read-placement.ts
@@ -81,14 +81,15 @@
 
 /** Whether a replica's data may include the needed position. */
 function mayInclude(
-  {visiblePosition: shown, lastShortfall: fellShort}: PlacementCandidate,
+  {visiblePosition, lastShortfall}: PlacementCandidate,
   needed: Position,
   now: number,
 ): boolean {
-  if (shown !== undefined && covers(shown, needed)) return true;
-  if (fellShort === undefined || now - fellShort.at > SHORTFALL_TTL_MS)
+  if (visiblePosition !== undefined && covers(visiblePosition, needed))
     return true;
-  return !covers(needed, fellShort.position);
+  if (lastShortfall === undefined || now - lastShortfall.at > SHORTFALL_TTL_MS)
+    return true;
+  return !covers(needed, lastShortfall.position);
 }
 
 function expectedWaitMs(candidate: PlacementCandidate): number {
--- a/src/sessions/access.ts
+++ b/src/sessions/access.ts
@@ -65,7 +65,7 @@
   }
 
   check({database, key}: Credentials): AccessDecision {
-    const {catalog, ageMs, maxCatalogAgeMs: keyLimitMs} = this.#options;
+    const {catalog, ageMs, maxCatalogAgeMs} = this.#options;
     const {routes, keys, teams, version} = catalog();
     const basis = {version, ageMs: Math.round(ageMs())};
     const refused = (verdict: NotRun): AccessDecision => ({
@@ -73,7 +73,7 @@
       verdict,
       basis,
     });
-    const isStale = version === 0 || basis.ageMs > keyLimitMs;
+    const isStale = version === 0 || basis.ageMs > maxCatalogAgeMs;
     const route = routes.get(database);
     if (isStale && (route === undefined || !route.allowsAnonymous)) {
       const message =
