--- a/standins/database/admin-server.ts
+++ b/standins/database/admin-server.ts
@@ -1,24 +1,24 @@
-/** The HTTP side of a database: test controls, and replication for its peers. */
+/** HTTP server of a database: test controls, and replication for its peers. */
 import http from 'node:http';
 import type {Position} from '../../src/session/position.js';
 import type {DatabaseCore} from './core.js';
-import type {OrderKind, OrderMoment} from './order-gates.js';
+import type {OrderKind, OrderPhase} from './order-gates.js';
 import {DATABASE_HEADER} from './peer-client.js';
 import {ENTRIES_PATH, STATE_PATH} from './replication-messages.js';
-import {answerPull, peerState} from './replication-source.js';
+import {servePull, readPeerState} from './replication-source.js';
 
-/** The bodies of the POST requests. */
-interface AdminOrder {
+/** Body of a POST request; each path uses some of the fields. */
+interface AdminRequestBody {
   readonly ms?: number;
   readonly from?: readonly string[];
   readonly order?: OrderKind;
-  readonly moment?: OrderMoment;
+  readonly moment?: OrderPhase;
   readonly orderer?: string;
 }
 
-type Handler = (url: URL, order: AdminOrder) => unknown;
+type Handler = (url: URL, order: AdminRequestBody) => unknown;
 
-/** Creates the server; it does not listen yet. */
+/** Creates the server without starting to listen. */
 export function createAdminServer(core: DatabaseCore): http.Server {
   const handlers = adminHandlers(core);
   return http.createServer((req, res) => {
@@ -40,7 +40,7 @@
   if (handler === undefined) return reply(res, 404, {error: 'unknown path'});
   const body = await readBody(req);
   try {
-    const order = (body === '' ? {} : JSON.parse(body)) as AdminOrder;
+    const order = (body === '' ? {} : JSON.parse(body)) as AdminRequestBody;
     reply(res, 200, handler(url, order) ?? {ok: true});
   } catch (err) {
     reply(res, 400, {error: String(err)});
@@ -55,12 +55,12 @@
 ): Promise<void> {
   const peer = String(req.headers[DATABASE_HEADER]);
   if (core.peers.isBlocked(peer)) return void res.destroy();
-  await core.gate.pass();
+  await core.gate.waitUntilOpen();
   const answer =
     url.pathname === STATE_PATH
-      ? peerState(core.member)
-      : await answerPull(core.member, readPosition(url));
-  await core.gate.pass();
+      ? readPeerState(core.member)
+      : await servePull(core.member, readPosition(url));
+  await core.gate.waitUntilOpen();
   if (core.peers.isBlocked(peer)) return void res.destroy();
   reply(res, 200, answer);
 }
@@ -71,7 +71,10 @@
     ['POST /freeze', (_url, order) => core.gate.freeze(readMs(order))],
     ['POST /silence', () => core.silenceConnections()],
     ['POST /lag', (_url, order) => core.member.setLag(readMs(order))],
-    ['POST /service', (_url, order) => core.runner.setService(readMs(order))],
+    [
+      'POST /service',
+      (_url, order) => core.runner.setServiceTime(readMs(order)),
+    ],
     ['POST /hold', (_url, order) => holdOrders(core, order)],
     ['GET /held', () => core.member.orders.held],
     ['GET /status', () => core.member.status()],
@@ -81,16 +84,16 @@
       url => [...core.member.rows.rows(url.searchParams.get('table') ?? '')],
     ],
     ['GET /counts', () => core.counts()],
-    ['GET /seen', () => core.seen()],
+    ['GET /seen', () => core.seenCredentials()],
   ]);
 }
 
-function holdOrders(core: DatabaseCore, body: AdminOrder): void {
+function holdOrders(core: DatabaseCore, body: AdminRequestBody): void {
   const {order: kind = 'fence', moment = 'before', orderer = ''} = body;
   core.member.orders.hold({kind, moment, orderer}, readMs(body));
 }
 
-function readMs({ms}: AdminOrder): number {
+function readMs({ms}: AdminRequestBody): number {
   if (typeof ms === 'number' && ms >= 0) return ms;
   throw new Error('send {"ms": a number of milliseconds}');
 }
--- a/standins/database/answer-writer.ts
+++ b/standins/database/answer-writer.ts
@@ -1,4 +1,4 @@
-/** Buffers a connection's answers and reports log positions in them. */
+/** Buffers the messages sent on a connection and adds log positions. */
 import type net from 'node:net';
 import {setImmediate} from 'node:timers/promises';
 import {
@@ -10,30 +10,30 @@
 import {parameterStatus} from './messages.js';
 import type {FreezeGate} from './signal.js';
 
-/** Bytes of an answer held before they are sent. */
+/** Buffered bytes at which {@link AnswerWriter.flushIfLarge} sends them. */
 const FLUSH_BYTES = 32 * 1024;
 
-/** Writes one connection's messages with back-pressure. */
+/** Writes the messages of one connection with backpressure. */
 export class AnswerWriter {
   readonly #socket: net.Socket;
   readonly #gate: FreezeGate;
   #pending: Buffer[] = [];
   #pendingBytes = 0;
-  #reported: Position | undefined;
-  #silenced = false;
+  #reportedPosition: Position | undefined;
+  #isSilenced = false;
 
   constructor(socket: net.Socket, gate: FreezeGate) {
     this.#socket = socket;
     this.#gate = gate;
   }
 
-  /** Sends nothing any more, although the connection stays open. */
+  /** Discards all further output while the connection stays open. */
   silence(): void {
-    this.#silenced = true;
+    this.#isSilenced = true;
   }
 
-  get silenced(): boolean {
-    return this.#silenced;
+  get isSilenced(): boolean {
+    return this.#isSilenced;
   }
 
   write(frame: Buffer): void {
@@ -42,33 +42,33 @@
   }
 
   /**
-   * Reports the position at which the next statement ran. The first report of
-   * a batch goes before all of its answer, which is why the answers to Parse
-   * and Bind are held until then.
+   * Adds a ParameterStatus with the position at which a statement ran, if it
+   * changed. The first one of a batch precedes all other messages of the batch,
+   * so the responses to Parse and Bind stay buffered until then.
    */
-  report(position: Position): void {
-    const previous = this.#reported;
+  reportPosition(position: Position): void {
+    const previous = this.#reportedPosition;
     if (previous && comparePositions(previous, position) === 0) return;
-    this.#reported = position;
+    this.#reportedPosition = position;
     const frame = parameterStatus(POSITION_PARAMETER, formatPosition(position));
     this.#pendingBytes += frame.length;
     if (previous === undefined) this.#pending.unshift(frame);
     else this.#pending.push(frame);
   }
 
-  /** Whether this batch has reported its position. */
-  get reported(): boolean {
-    return this.#reported !== undefined;
+  /** True if the current batch has reported a position. */
+  get hasReportedPosition(): boolean {
+    return this.#reportedPosition !== undefined;
   }
 
-  /** Starts the next batch. */
+  /** Ends the current batch. */
   endBatch(): void {
-    this.#reported = undefined;
+    this.#reportedPosition = undefined;
   }
 
   /**
-   * Sends what is held once it is large, and lets other work run: a peer that
-   * reads as fast as this writes would otherwise hold up every heartbeat.
+   * Sends the buffer once it is large, then yields to the event loop. A client
+   * that reads as fast as this writes would otherwise delay every heartbeat.
    */
   async flushIfLarge(): Promise<void> {
     if (this.#pendingBytes < FLUSH_BYTES) return;
@@ -76,18 +76,19 @@
     await setImmediate();
   }
 
-  /** Sends what is held and waits until the peer takes it. */
+  /** Sends the buffer and waits while the socket is full. */
   async flush(): Promise<void> {
-    await this.#gate.pass();
+    await this.#gate.waitUntilOpen();
     if (this.#pending.length === 0) return;
     const bytes = Buffer.concat(this.#pending);
     this.#pending = [];
     this.#pendingBytes = 0;
-    if (this.#silenced) return await this.#closing('close');
+    if (this.#isSilenced) return await this.#closing('close');
     if (this.#socket.destroyed) throw new Error('the connection is closed');
     if (!this.#socket.write(bytes)) await this.#closing('drain');
   }
 
+  /** Resolves at `event`, or when the socket closes. */
   #closing(event: 'close' | 'drain'): Promise<void> {
     return new Promise(resolve => {
       const finish = () => {
--- a/standins/database/connection.ts
+++ b/standins/database/connection.ts
@@ -1,4 +1,4 @@
-/** One client connection: a loop over its messages, written straight down. */
+/** Message loop of one client connection. */
 import type net from 'node:net';
 import {FrameError, FrameReader, type Frame} from '../../src/targets/frames.js';
 import {AnswerWriter} from './answer-writer.js';
@@ -14,23 +14,23 @@
 import {authenticate, readStartup, type SeenCredentials} from './startup.js';
 import type {StatementRunner} from './statement-runner.js';
 
-/** The database name whose connections may use the control functions. */
+/** Database name of control connections, which may call control functions. */
 export const CONTROL_DATABASE = 'platform';
 
-/** What a connection needs of its database. */
+/** The parts of a database that a connection uses. */
 export interface ConnectionHost {
   readonly options: DatabaseOptions;
   readonly member: GroupMember;
   readonly runner: StatementRunner;
   readonly gate: FreezeGate;
-  recordCredentials(seen: SeenCredentials): void;
-  /** Counts a connection in; throws SqlError 53300 above the limit. */
+  recordCredentials(credentials: SeenCredentials): void;
+  /** Registers a connection; throws SqlError 53300 above the limit. */
   admit(connection: ClientConnection, control: boolean): void;
-  /** Stops what the connection of that key runs. */
+  /** Cancels the running statement of the connection with this key. */
   cancel(processId: number, secret: number): void;
 }
 
-/** One client connection. */
+/** Serves one client connection. */
 export class ClientConnection {
   readonly processId: number;
   readonly secret = Math.floor(Math.random() * 0x7fffffff);
@@ -38,7 +38,7 @@
   readonly #socket: net.Socket;
   readonly #reader: FrameReader;
   readonly #writer: AnswerWriter;
-  #running: AbortController | undefined;
+  #runningStatement: AbortController | undefined;
 
   constructor(host: ConnectionHost, socket: net.Socket, processId: number) {
     this.#host = host;
@@ -53,20 +53,20 @@
     try {
       await this.#serve();
     } catch (err) {
-      await this.#refuse(err);
+      await this.#sendFatalError(err);
     } finally {
       this.#socket.end();
     }
   }
 
-  /** Stops the running statement with SQLSTATE 57014. */
+  /** Cancels the running statement with SQLSTATE 57014. */
   cancel(): void {
-    this.#running?.abort(
+    this.#runningStatement?.abort(
       new SqlError('57014', 'canceling statement due to user request'),
     );
   }
 
-  /** Sends nothing any more, although the connection stays open. */
+  /** Discards all further output while the connection stays open. */
   silence(): void {
     this.#writer.silence();
   }
@@ -78,7 +78,7 @@
   async #serve(): Promise<void> {
     const {gate, options} = this.#host;
     const request = await readStartup(this.#socket, this.#reader, this.#writer);
-    await gate.pass();
+    await gate.waitUntilOpen();
     if (request === undefined) return;
     if (request.kind === 'cancel') {
       return this.#host.cancel(request.processId, request.secret);
@@ -89,9 +89,9 @@
       this.#reader,
       this.#writer,
       options,
-      seen => this.#host.recordCredentials(seen),
+      credentials => this.#host.recordCredentials(credentials),
     );
-    // A connection already closed would never be counted out again.
+    // The close event has passed, so a closed socket would stay registered.
     if (this.#socket.destroyed) return;
     this.#host.admit(this, control);
     await new Promise(resolve => setTimeout(resolve, options.connectCostMs));
@@ -112,27 +112,27 @@
 
   async #serveQueries(session: Session): Promise<void> {
     const extended = new ExtendedQuery(session, this.#writer);
-    let skipping = false;
+    let isSkippingToSync = false;
     for (;;) {
       const frame = await this.#reader.next();
       if (frame === undefined || frame.type === 'X') return;
-      await this.#host.gate.pass();
-      if (this.#writer.silenced) continue;
+      await this.#host.gate.waitUntilOpen();
+      if (this.#writer.isSilenced) continue;
       if (frame.type === 'S') {
-        skipping = false;
+        isSkippingToSync = false;
         await this.#endBatch(session);
         continue;
       }
-      if (skipping) continue;
+      if (isSkippingToSync) continue;
       const running = new AbortController();
-      this.#running = running;
+      this.#runningStatement = running;
       try {
         await this.#handle(frame, session, extended, running.signal);
       } catch (err) {
-        skipping = frame.type !== 'Q';
-        this.#fail(session, err);
+        isSkippingToSync = frame.type !== 'Q';
+        this.#reportError(session, err);
       } finally {
-        this.#running = undefined;
+        this.#runningStatement = undefined;
       }
       if (frame.type === 'Q') await this.#endBatch(session);
     }
@@ -150,7 +150,7 @@
     if (statements.length === 0) this.#writer.write(messages.emptyQuery);
     for (const statement of statements) {
       const {result, position} = await session.execute(statement, [], signal);
-      this.#writer.report(position);
+      this.#writer.reportPosition(position);
       if (result.columns) {
         this.#writer.write(messages.rowDescription(result.columns));
       }
@@ -158,10 +158,11 @@
     }
   }
 
-  #fail(session: Session, err: unknown): void {
+  #reportError(session: Session, err: unknown): void {
     if (!(err instanceof SqlError) || err.severity === 'FATAL') throw err;
     session.fail();
-    if (!this.#writer.reported) this.#writer.report(session.position);
+    if (!this.#writer.hasReportedPosition)
+      this.#writer.reportPosition(session.position);
     this.#writer.write(messages.errorResponse(err));
   }
 
@@ -170,17 +171,18 @@
     try {
       committed = session.endBatch();
     } catch (err) {
-      this.#fail(session, err);
+      this.#reportError(session, err);
     }
-    if (!this.#writer.reported) this.#writer.report(session.position);
-    if (committed) this.#writer.report(committed);
+    if (!this.#writer.hasReportedPosition)
+      this.#writer.reportPosition(session.position);
+    if (committed) this.#writer.reportPosition(committed);
     this.#writer.write(messages.readyForQuery(session.transactionCode));
     this.#writer.endBatch();
     await this.#writer.flush();
   }
 
-  /** Answers a fatal error, where the peer still listens. */
-  async #refuse(err: unknown): Promise<void> {
+  /** Sends a fatal error if the socket is still open. */
+  async #sendFatalError(err: unknown): Promise<void> {
     if (this.#socket.destroyed) return;
     const fatal =
       err instanceof FrameError
--- a/standins/database/control.ts
+++ b/standins/database/control.ts
@@ -1,4 +1,4 @@
-/** The platform's control functions as SQL results. */
+/** Implements the SQL control functions of the schema `platform`. */
 import type {ConfirmResult, DatabaseStatus} from '../../src/groups/types.js';
 import {formatPosition, parsePosition} from '../../src/session/position.js';
 import type {GroupMember} from './member.js';
@@ -19,8 +19,8 @@
 
 const FENCE_COLUMNS = textColumns('result').concat(STATUS_COLUMNS);
 
-/** The columns of a control function's result. */
-export function controlColumns(
+/** Returns the result columns of a control function. */
+export function describeControlColumns(
   statement: ControlStatement,
 ): readonly ResultColumn[] {
   switch (statement.kind) {
@@ -35,16 +35,20 @@
   }
 }
 
-/** Runs a control function; it occupies no execution slot. */
+/** Runs a control function, without occupying an execution slot. */
 export async function runControl(
   member: GroupMember,
   statement: ControlStatement,
 ): Promise<Result> {
-  const row = await controlRow(member, statement);
-  return {columns: controlColumns(statement), rows: [row], tag: 'SELECT 1'};
+  const row = await runControlFunction(member, statement);
+  return {
+    columns: describeControlColumns(statement),
+    rows: [row],
+    tag: 'SELECT 1',
+  };
 }
 
-async function controlRow(
+async function runControlFunction(
   member: GroupMember,
   statement: ControlStatement,
 ): Promise<readonly string[]> {
@@ -72,15 +76,17 @@
   }
 }
 
-/** Carries an order out, between the gates that may hold it. */
+/**
+ * Executes an order; tests may delay it before it runs or before its answer.
+ */
 async function runOrder(
   member: GroupMember,
   {kind, orderer}: {readonly kind: OrderKind; readonly orderer: string},
   run: () => readonly string[],
 ): Promise<readonly string[]> {
-  await member.orders.pass({kind, moment: 'before', orderer});
+  await member.orders.waitUntilReleased({kind, moment: 'before', orderer});
   const row = run();
-  await member.orders.pass({kind, moment: 'after', orderer});
+  await member.orders.waitUntilReleased({kind, moment: 'after', orderer});
   return row;
 }
 
--- a/standins/database/core.ts
+++ b/standins/database/core.ts
@@ -1,4 +1,4 @@
-/** What one database consists of, shared by its connections and its HTTP side. */
+/** State of one database, shared by its connections and its admin server. */
 import {type ClientConnection, type ConnectionHost} from './connection.js';
 import {GroupMember, startAsPrimary} from './member.js';
 import type {DatabaseOptions} from './options.js';
@@ -8,16 +8,17 @@
 import type {SeenCredentials} from './startup.js';
 import {StatementRunner, type StatementCounts} from './statement-runner.js';
 
-/** What has happened at a database so far. */
+/** Connection and statement counts of a database since its start. */
 export interface DatabaseCounts extends StatementCounts {
-  /** Connections open now, control connections apart. */
+  /** Open connections, control connections not included. */
   readonly connections: number;
   readonly controlConnections: number;
+  /** Highest number of concurrent connections so far. */
   readonly maxConnections: number;
   readonly refusedConnections: number;
 }
 
-/** One database without its listeners. */
+/** One database without its network listeners. */
 export class DatabaseCore implements ConnectionHost {
   readonly options: DatabaseOptions;
   readonly gate = new FreezeGate();
@@ -25,7 +26,7 @@
   readonly runner: StatementRunner;
   readonly peers: PeerClient;
   readonly #open = new Map<ClientConnection, 'work' | 'control'>();
-  readonly #seen = new Map<string, SeenCredentials>();
+  readonly #seenCredentials = new Map<string, SeenCredentials>();
   #maxConnections = 0;
   #refusedConnections = 0;
 
@@ -41,12 +42,13 @@
     if (options.primary) startAsPrimary(this.member);
   }
 
-  recordCredentials(seen: SeenCredentials): void {
-    this.#seen.set(JSON.stringify(seen), seen);
+  recordCredentials(credentials: SeenCredentials): void {
+    this.#seenCredentials.set(JSON.stringify(credentials), credentials);
   }
 
-  seen(): readonly SeenCredentials[] {
-    return [...this.#seen.values()];
+  /** Returns the distinct credentials that clients have presented. */
+  seenCredentials(): readonly SeenCredentials[] {
+    return [...this.#seenCredentials.values()];
   }
 
   admit(connection: ClientConnection, control: boolean): void {
@@ -64,8 +66,8 @@
     }
   }
 
-  /** Forgets a connection that has closed. */
-  leave(connection: ClientConnection): void {
+  /** Removes a closed connection from the count. */
+  removeConnection(connection: ClientConnection): void {
     this.#open.delete(connection);
   }
 
@@ -76,7 +78,7 @@
     }
   }
 
-  /** Leaves the open connections without answers for good. */
+  /** Stops all answers on the connections that are open now. */
   silenceConnections(): void {
     for (const connection of this.#open.keys()) connection.silence();
   }
--- a/standins/database/extended-query.ts
+++ b/standins/database/extended-query.ts
@@ -21,7 +21,7 @@
 interface Portal {
   readonly statement: Statement;
   readonly parameters: readonly (string | null)[];
-  /** The result once executed, and its rows not yet sent. */
+  /** The result after execution, and an iterator over its unsent rows. */
   result?: Result;
   rows?: Iterator<readonly string[]>;
 }
@@ -132,7 +132,7 @@
         parameters,
         signal,
       );
-      this.#writer.report(executed.position);
+      this.#writer.reportPosition(executed.position);
       portal.result = executed.result;
       portal.rows = (executed.result.rows ?? [])[Symbol.iterator]();
     }
@@ -145,9 +145,13 @@
     );
   }
 
-  /** Sends what is held, though a later statement may run further on. */
+  /**
+   * Flushes the buffer. This fixes the first position of the batch, although a
+   * later statement may run at a higher one.
+   */
   async #flush(): Promise<void> {
-    if (!this.#writer.reported) this.#writer.report(this.#session.position);
+    if (!this.#writer.hasReportedPosition)
+      this.#writer.reportPosition(this.#session.position);
     await this.#writer.flush();
   }
 
--- a/standins/database/index.ts
+++ b/standins/database/index.ts
@@ -1,4 +1,4 @@
-/** A stand-in for a database of a replicated group. */
+/** Stand-in for a replicated database that speaks the PostgreSQL protocol. */
 import net from 'node:net';
 import type {AddressInfo} from 'node:net';
 import {createAdminServer} from './admin-server.js';
@@ -21,22 +21,24 @@
   readonly port: number;
   readonly adminPort: number;
   readonly member: GroupMember;
-  /** Starts replication with these peers, where the options named none. */
+  /** Starts replication with these peers, if the options named none. */
   follow(peers: readonly PeerAddress[]): void;
-  /** Ends every connection and forgets all data, like a killed process. */
+  /**
+   * Closes every connection and discards all data, as killing a process does.
+   */
   close(): Promise<void>;
 }
 
 /**
- * Starts a database on the ports of its options, or on free ones.
+ * Starts a database on the ports of its options, or on free ports.
  *
  * @example
  * const database = await createDatabase({id: 'db1', primary: true});
  */
 export async function createDatabase(
-  given: Partial<DatabaseOptions> = {},
+  overrides: Partial<DatabaseOptions> = {},
 ): Promise<Database> {
-  const options = {...DEFAULT_DATABASE_OPTIONS, ...given};
+  const options = {...DEFAULT_DATABASE_OPTIONS, ...overrides};
   const core = new DatabaseCore(options);
   const sockets = new Set<net.Socket>();
   const server = createConnectionServer(core, sockets);
@@ -69,19 +71,21 @@
 }
 
 /**
- * Starts a whole group of databases in this process, the first one primary.
+ * Starts a group of databases in this process; the first is the primary.
  *
  * @example
  * const [primary, replica] = await createDatabaseGroup(2, {lagMs: 20});
  */
 export async function createDatabaseGroup(
   size: number,
-  given: Partial<DatabaseOptions> = {},
+  overrides: Partial<DatabaseOptions> = {},
 ): Promise<readonly Database[]> {
   const databases: Database[] = [];
   for (let index = 0; index < size; index++) {
-    const id = `${given.id ?? 'db'}${index + 1}`;
-    databases.push(await createDatabase({...given, id, primary: index === 0}));
+    const id = `${overrides.id ?? 'db'}${index + 1}`;
+    databases.push(
+      await createDatabase({...overrides, id, primary: index === 0}),
+    );
   }
   for (const database of databases) {
     const others = databases.filter(other => other !== database);
@@ -103,7 +107,7 @@
     socket.on('error', () => {});
     socket.on('close', () => {
       sockets.delete(socket);
-      core.leave(connection);
+      core.removeConnection(connection);
     });
     void connection.serve();
   });
--- a/standins/database/log.ts
+++ b/standins/database/log.ts
@@ -1,18 +1,18 @@
-/** The replicated log: an offset for every entry, and the term that wrote it. */
+/** The replicated log; each entry has an offset and the term that wrote it. */
 import {START_POSITION, type Position} from '../../src/session/position.js';
 import type {Change} from './tables.js';
 
-/** One committed transaction, or a promotion, which changes nothing. */
+/** A committed transaction, or a promotion (an entry without changes). */
 export interface LogEntry extends Position {
   readonly changes: readonly Change[];
 }
 
-/** A log entry with the time of its commit on this database's clock. */
+/** A log entry with its commit time in this process's monotonic time. */
 export interface StoredEntry extends LogEntry {
   readonly committedMs: number;
 }
 
-/** Entries with offsets 1, 2, 3, ... */
+/** Log entries with consecutive offsets that start at 1. */
 export class Log {
   readonly #entries: StoredEntry[] = [];
 
@@ -24,15 +24,17 @@
     return this.positionAt(this.length);
   }
 
-  /** The position at `offset`; the start for offset 0 or one not held. */
+  /**
+   * Returns the position at `offset`; the start position if it has no entry.
+   */
   positionAt(offset: number): Position {
     const entry = this.#entries[offset - 1];
     if (entry === undefined) return START_POSITION;
     return {term: entry.term, offset: entry.offset};
   }
 
-  /** Whether the log holds the entry at `position`. */
-  holds(position: Position): boolean {
+  /** True if the log contains the entry at `position`. */
+  contains(position: Position): boolean {
     if (position.offset === 0) return true;
     return this.#entries[position.offset - 1]?.term === position.term;
   }
@@ -41,7 +43,7 @@
     return this.#entries[offset - 1];
   }
 
-  /** Entries after `offset`, at most `limit`. */
+  /** Returns at most `limit` entries after `offset`. */
   after(offset: number, limit = Infinity): readonly StoredEntry[] {
     return this.#entries.slice(offset, offset + limit);
   }
@@ -50,13 +52,13 @@
     this.#entries.push(entry);
   }
 
-  /** Drops every entry after `offset`. */
+  /** Removes all entries after `offset`. */
   truncate(offset: number): void {
     this.#entries.length = Math.min(this.#entries.length, offset);
   }
 
-  /** The offset before the first entry of the term of the entry at `offset`. */
-  beforeTermOf(offset: number): number {
+  /** Returns the last offset before the term of the entry at `offset` began. */
+  offsetBeforeTermOf(offset: number): number {
     const term = this.positionAt(offset).term;
     let start = offset;
     while (start > 0 && this.positionAt(start).term === term) start--;
--- a/standins/database/main.ts
+++ b/standins/database/main.ts
@@ -1,4 +1,4 @@
-/** Runs one database of a group as a process. */
+/** Command-line entry point: runs one stand-in database of a group. */
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
 import {createDatabase} from './index.js';
@@ -13,7 +13,7 @@
     peers: {
       type: 'string',
       default: '',
-      describe: 'the other databases as id@host:adminPort,...',
+      describe: 'the other databases of the group, as id@host:adminPort,...',
     },
     primary: {type: 'boolean', default: false},
     slots: {type: 'number', default: defaults.slots},
--- a/standins/database/member.ts
+++ b/standins/database/member.ts
@@ -1,4 +1,4 @@
-/** A database as a member of its group: its log, role, term and fence. */
+/** Replication state of a group member: its log, role, term and fence. */
 import type {
   ConfirmResult,
   DatabaseStatus,
@@ -12,24 +12,24 @@
 import {Tables, type RowSource} from './tables.js';
 import type {WriteSet} from './write-set.js';
 
-/** The orderer of the term with which a group starts. */
+/** Orderer of term 1, with which a group starts. */
 export const INITIAL_ORDERER = 'initial';
 
-/** Entries of a primary, all after an entry that both logs hold. */
+/** Log entries of a primary that follow an entry present in both logs. */
 export interface EntryBatch {
   readonly term: number;
   readonly orderer: string;
-  /** The entry after which `entries` follow. */
+  /** Position of the entry before the first of `entries`. */
   readonly previous: Position;
   readonly entries: readonly (LogEntry & {readonly ageMs: number})[];
 }
 
-/** One database's replicated state. */
+/** One database's log, tables, role and fence. */
 export class GroupMember {
   readonly log = new Log();
-  /** Notified when the log, the role or the fence changes. */
+  /** Notifies waiters when the log, the role or the fence changes. */
   readonly changed = new ChangeSignal();
-  /** Holds the platform's orders where a test says so. */
+  /** Delays fence and promote orders for tests. */
   readonly orders = new OrderGates();
   readonly #tables = new Tables();
   readonly #gate: FreezeGate;
@@ -39,7 +39,7 @@
   #fencedBy = '';
   #appliedOffset = 0;
   #lagMs: number;
-  #lastHeardMs = performance.now();
+  #lastContactMs = performance.now();
   #applyTimer: NodeJS.Timeout | undefined;
 
   constructor(lagMs: number, gate: FreezeGate) {
@@ -72,7 +72,7 @@
   }
 
   status(): DatabaseStatus {
-    const silentMs = performance.now() - this.#lastHeardMs;
+    const silentMs = performance.now() - this.#lastContactMs;
     return {
       role: this.#role,
       term: this.#term,
@@ -89,12 +89,12 @@
     this.#applyDue();
   }
 
-  /** Stops the timers. */
+  /** Cancels the apply timer. */
   close(): void {
     clearTimeout(this.#applyTimer);
   }
 
-  /** Grants a term to one orderer; an older primary becomes a replica. */
+  /** Grants `term` to one orderer; a primary of an older term steps down. */
   fence(term: number, orderer: string): FenceResult {
     const repeated = term === this.#fencedTerm && orderer === this.#fencedBy;
     if (term <= this.#fencedTerm && !repeated) {
@@ -104,17 +104,20 @@
     this.#fencedBy = orderer;
     if (this.#role === 'primary' && this.#term < term) {
       this.#role = 'replica';
-      this.#lastHeardMs = performance.now();
+      this.#lastContactMs = performance.now();
     }
     this.changed.notify();
     return {kind: 'fenced', status: this.status()};
   }
 
-  /** Becomes primary of a term that this orderer fenced; repeatable. */
+  /**
+   * Becomes primary of `term`. Returns false unless this orderer fenced that
+   * term; repeated calls succeed.
+   */
   promote(term: number, orderer: string): boolean {
     if (term !== this.#fencedTerm || orderer !== this.#fencedBy) return false;
     if (this.#role === 'primary') return true;
-    // A primary of this term may exist if this database already follows it.
+    // If this database follows the term already, the term may have a primary.
     if (this.#term === term) return false;
     this.#role = 'primary';
     this.#term = term;
@@ -122,7 +125,7 @@
     return true;
   }
 
-  /** Refuses work unless this database is still primary of `term`. */
+  /** Throws SqlError 57P01 unless this database is still primary of `term`. */
   checkPrimary(term: number): void {
     if (this.#role === 'primary' && this.#term === term) return;
     throw new SqlError(
@@ -131,30 +134,36 @@
     );
   }
 
-  /** Commits a transaction that began in `term`; throws if that has ended. */
+  /**
+   * Commits a transaction that began in `term`; throws if that term has ended.
+   */
   commit(term: number, writes: WriteSet): Position {
     this.checkPrimary(term);
     return this.#append(writes.rebase());
   }
 
-  /** Takes over a primary's entries; false if the primary is fenced off. */
+  /**
+   * Stores entries from a primary. Returns false if this database is primary,
+   * if the sender is fenced off, or if the logs differ at `batch.previous`.
+   */
   accept(batch: EntryBatch): boolean {
     if (this.#role === 'primary' || batch.term < this.#fencedTerm) return false;
-    if (!this.log.holds(batch.previous)) return false;
-    this.noteTerm(batch.term, batch.orderer);
+    if (!this.log.contains(batch.previous)) return false;
+    this.recordTerm(batch.term, batch.orderer);
     this.#term = batch.term;
-    this.#lastHeardMs = performance.now();
+    this.#lastContactMs = performance.now();
     for (const entry of batch.entries) this.#store(entry);
     this.#applyDue();
     this.changed.notify();
     return true;
   }
 
-  /** Learns of a primary's term, which fences as an order of it would. */
-  noteTerm(term: number, orderer: string): void {
+  /** Records a primary's term; a higher term fences this database. */
+  recordTerm(term: number, orderer: string): void {
     if (term > this.#fencedTerm) this.fence(term, orderer);
   }
 
+  /** Waits until the log holds `position` in `term`, a fence or the timeout. */
   async confirm(
     term: number,
     position: Position,
@@ -175,7 +184,9 @@
     }
   }
 
-  /** Appends an entry of this term, and applies it and all before it. */
+  /**
+   * Appends an entry of the current term; applies it and all earlier entries.
+   */
   #append(changes: LogEntry['changes']): Position {
     const position = {term: this.#term, offset: this.log.length + 1};
     this.log.append({...position, changes, committedMs: performance.now()});
@@ -185,12 +196,12 @@
   }
 
   /**
-   * Appends an entry, and drops a tail that conflicts with it. A primary's log
-   * always has an entry of its own term where an older tail would go on, so a
-   * tail is never left over.
+   * Appends an entry after truncating the entries that conflict with it. Each
+   * promotion appends an entry of its own term, so a stale tail always conflicts
+   * with the new primary's log and is removed.
    */
   #store(entry: LogEntry & {readonly ageMs: number}): void {
-    if (this.log.holds(entry)) return;
+    if (this.log.contains(entry)) return;
     this.#truncate(entry.offset - 1);
     const {term, offset, changes, ageMs} = entry;
     const committedMs = performance.now() - ageMs;
@@ -213,7 +224,9 @@
     }
   }
 
-  /** Applies the entries whose lag has passed and waits for the next. */
+  /**
+   * Applies the entries whose lag has passed; sets a timer for the next one.
+   */
   #applyDue(): void {
     clearTimeout(this.#applyTimer);
     if (this.#role === 'primary') return;
@@ -221,14 +234,14 @@
       const entry = this.log.get(this.#appliedOffset + 1);
       if (entry === undefined) return;
       const waitMs = entry.committedMs + this.#lagMs - performance.now();
-      if (waitMs > 0) return this.#applyLater(waitMs);
+      if (waitMs > 0) return this.#scheduleApply(waitMs);
       this.#apply(entry);
     }
   }
 
-  #applyLater(waitMs: number): void {
+  #scheduleApply(waitMs: number): void {
     this.#applyTimer = setTimeout(() => {
-      void this.#gate.pass().then(() => this.#applyDue());
+      void this.#gate.waitUntilOpen().then(() => this.#applyDue());
     }, waitMs);
   }
 
@@ -238,7 +251,7 @@
   }
 }
 
-/** A member that leads term 1, as a new group's primary does. */
+/** Makes a member the primary of term 1, as in a new group. */
 export function startAsPrimary(member: GroupMember): void {
   member.fence(1, INITIAL_ORDERER);
   member.promote(1, INITIAL_ORDERER);
--- a/standins/database/messages.ts
+++ b/standins/database/messages.ts
@@ -1,4 +1,4 @@
-/** The database's side of protocol v3: messages to send and to read. */
+/** Server side of the PostgreSQL protocol v3: message builders and a reader. */
 import {
   buildFrame,
   cString,
@@ -9,7 +9,8 @@
 import {TYPE_OIDS, type ResultColumn} from './result.js';
 import {SqlError} from './sql-error.js';
 
-const NO_LIMIT = -1;
+/** Type size of a variable-length type; type modifier if there is none. */
+const UNSPECIFIED = -1;
 
 export const authenticationOk = buildFrame('R', int32(0));
 export const authenticationCleartext = buildFrame('R', int32(3));
@@ -36,7 +37,7 @@
   return buildFrame('C', cString(tag));
 }
 
-/** Offers version 3.0 and refuses the named options. */
+/** Builds NegotiateProtocolVersion: version 3.0, without these options. */
 export function negotiateVersion(options: readonly string[]): Buffer {
   return buildFrame(
     'v',
@@ -59,8 +60,8 @@
       int32(0),
       int16(0),
       int32(typeOid),
-      int16(NO_LIMIT),
-      int32(NO_LIMIT),
+      int16(UNSPECIFIED),
+      int32(UNSPECIFIED),
       int16(0),
     ]),
   );
@@ -80,7 +81,7 @@
   return buildFrame('D', int16(values.length), ...fields);
 }
 
-/** Reads the body of a frame; a short body is a protocol violation. */
+/** Reads the fields of a frame; throws SqlError 08P01 if the frame is short. */
 export class BodyReader {
   readonly #bytes: Buffer;
   #at: number;
--- a/standins/database/options.ts
+++ b/standins/database/options.ts
@@ -1,10 +1,10 @@
-/** Settings of one database of the stand-in. */
+/** Settings of one stand-in database. */
 
 /** Another database of the same group. */
 export interface PeerAddress {
   readonly id: string;
   readonly host: string;
-  /** The peer's admin port, over which replication runs. */
+  /** The peer's admin port, which also serves replication. */
   readonly adminPort: number;
 }
 
@@ -12,29 +12,33 @@
 export interface DatabaseOptions {
   readonly id: string;
   readonly host: string;
-  /** 0 lets the system choose. */
+  /** 0 selects a free port; so does 0 for `adminPort`. */
   readonly port: number;
   readonly adminPort: number;
   readonly peers: readonly PeerAddress[];
-  /** Whether it starts as the primary of term 1. */
+  /** True if the database starts as the primary of term 1. */
   readonly primary: boolean;
-  /** Statements it executes at the same time. */
+  /** Maximum number of statements that run concurrently. */
   readonly slots: number;
+  /** Maximum number of connections, control connections not included. */
   readonly maxConnections: number;
-  /** Connections to the database `platform`, accepted on top. */
+  /** Maximum number of connections to the database `platform`. */
   readonly maxControlConnections: number;
+  /** Delay before a new connection is ready. */
   readonly connectCostMs: number;
-  /** How long after its commit a replica shows an entry to reads. */
+  /**
+   * Replica lag: time from the commit of an entry until a replica applies it.
+   */
   readonly lagMs: number;
-  /** How long an entry takes to become durable on a replica. */
+  /** Replication delay before a replica stores the entries it received. */
   readonly linkMs: number;
-  /** How long each statement occupies a slot. */
+  /** Time that each statement occupies its slot. */
   readonly serviceMs: number;
   readonly nodeUser: string;
   readonly nodePassword: string;
 }
 
-/** The settings used where a caller gives none. */
+/** Defaults for settings that are not given. */
 export const DEFAULT_DATABASE_OPTIONS: DatabaseOptions = {
   id: 'db1',
   host: '127.0.0.1',
@@ -54,7 +58,7 @@
 };
 
 /**
- * Reads `id@host:adminPort,...`.
+ * Parses a list of peers of the form `id@host:adminPort,...`.
  *
  * @example
  * parsePeers('db2@127.0.0.1:7102,db3@127.0.0.1:7103');
--- a/standins/database/order-gates.ts
+++ b/standins/database/order-gates.ts
@@ -1,16 +1,16 @@
-/** Holds the platform's orders to a database, for tests of who dies when. */
+/** Delays fence and promote orders, for tests that stop a process midway. */
 import {FreezeGate} from './signal.js';
 
-/** An order of the platform that changes who leads. */
+/** An order that changes which database is primary. */
 export type OrderKind = 'fence' | 'promote';
 
-/** Whether an order is held before it takes effect, or its answer after. */
-export type OrderMoment = 'before' | 'after';
+/** Delays the order before it takes effect, or its answer afterwards. */
+export type OrderPhase = 'before' | 'after';
 
-/** An order that is held. */
+/** An order, and the phase in which it is delayed. */
 export interface HeldOrder {
   readonly kind: OrderKind;
-  readonly moment: OrderMoment;
+  readonly moment: OrderPhase;
   readonly orderer: string;
 }
 
@@ -19,17 +19,17 @@
   readonly orderer: string;
 }
 
-/** The gates that orders and their answers pass. */
+/** Delays orders and their answers on request. */
 export class OrderGates {
   readonly #holds = new Map<string, Hold>();
   readonly #held = new Set<HeldOrder>();
 
-  /** The orders that are held now. */
+  /** Orders that are delayed now. */
   get held(): readonly HeldOrder[] {
     return [...this.#held];
   }
 
-  /** Holds the orders of orderers whose names begin so, for `ms` from now. */
+  /** Delays orders whose orderer starts with `orderer` for `ms` from now. */
   hold({kind, moment, orderer}: HeldOrder, ms: number): void {
     const key = `${moment} ${kind}`;
     this.#holds.get(key)?.gate.release();
@@ -38,12 +38,12 @@
     this.#holds.set(key, {gate, orderer});
   }
 
-  /** Resolves once the order or its answer may pass. */
-  async pass(order: HeldOrder): Promise<void> {
+  /** Resolves when the order or its answer is no longer delayed. */
+  async waitUntilReleased(order: HeldOrder): Promise<void> {
     const hold = this.#holds.get(`${order.moment} ${order.kind}`);
     if (hold === undefined || !order.orderer.startsWith(hold.orderer)) return;
     this.#held.add(order);
-    await hold.gate.pass();
+    await hold.gate.waitUntilOpen();
     this.#held.delete(order);
   }
 }
--- a/standins/database/peer-client.ts
+++ b/standins/database/peer-client.ts
@@ -1,13 +1,13 @@
-/** Requests to the group's other databases. */
+/** HTTP client for the other databases of the group. */
 import http from 'node:http';
 import type {PeerAddress} from './options.js';
 
-/** Names the asking database, so that a partition can stop it. */
+/** Header with the id of the requesting database; partitions block by it. */
 export const DATABASE_HEADER = 'x-database';
 
 const REQUEST_TIMEOUT_MS = 400;
 
-/** Sends requests to peers, except to those cut off by a partition. */
+/** Sends requests to peers that no simulated partition blocks. */
 export class PeerClient {
   readonly #id: string;
   readonly #requests = new Set<http.ClientRequest>();
@@ -19,7 +19,7 @@
     this.#id = id;
   }
 
-  /** Exchanges nothing with these peers until the next call. */
+  /** Replaces the set of blocked peers and aborts the requests in progress. */
   block(ids: readonly string[]): void {
     this.#blocked = new Set(ids);
     this.abort();
@@ -29,7 +29,7 @@
     return this.#blocked.has(id);
   }
 
-  /** The peer's answer; undefined if it gave none. */
+  /** Returns the decoded response; undefined if blocked or on any failure. */
   async get<T>(peer: PeerAddress, path: string): Promise<T | undefined> {
     if (this.#closed || this.isBlocked(peer.id)) return undefined;
     const req = http.get({
@@ -42,7 +42,7 @@
     const timer = setTimeout(() => req.destroy(), REQUEST_TIMEOUT_MS);
     this.#requests.add(req);
     try {
-      const body = JSON.parse(await readAnswer(req)) as T;
+      const body = JSON.parse(await readResponse(req)) as T;
       return this.isBlocked(peer.id) ? undefined : body;
     } catch {
       return undefined;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Gives up the requests under way. */
+  /** Aborts the requests in progress. */
   abort(): void {
     for (const req of this.#requests) req.destroy();
   }
@@ -64,8 +64,8 @@
   }
 }
 
-/** The body of a successful answer; rejects on any other outcome. */
-function readAnswer(req: http.ClientRequest): Promise<string> {
+/** Resolves with the body of a response with status 200; rejects otherwise. */
+function readResponse(req: http.ClientRequest): Promise<string> {
   return new Promise((resolve, reject) => {
     req.on('error', reject);
     req.on('response', res => {
@@ -74,7 +74,7 @@
       res.on('error', reject);
       res.on('end', () => {
         if (res.statusCode === 200) resolve(Buffer.concat(chunks).toString());
-        else reject(new Error(`the peer answered ${res.statusCode}`));
+        else reject(new Error(`peer responded with status ${res.statusCode}`));
       });
     });
   });
--- a/standins/database/replication-follower.ts
+++ b/standins/database/replication-follower.ts
@@ -1,4 +1,4 @@
-/** A replica's side of replication: finds the primary and pulls its log. */
+/** Replica side of replication: finds the primary and pulls its log. */
 import {setTimeout as sleep} from 'node:timers/promises';
 import type {Position} from '../../src/session/position.js';
 import type {GroupMember} from './member.js';
@@ -12,12 +12,12 @@
 } from './replication-messages.js';
 import type {FreezeGate} from './signal.js';
 
-/** Between looks at a peer while this database has a primary. */
-const LOOK_INTERVAL_MS = 100;
-/** Between looks at a peer, and tries, without one. */
+/** Interval between polls of a peer while the primary is known. */
+const POLL_INTERVAL_MS = 100;
+/** Interval between polls of a peer, and between pulls, without a primary. */
 const SEARCH_INTERVAL_MS = 10;
 
-/** The peer that this database takes to be its primary. */
+/** The peer that this database follows as its primary. */
 interface Upstream {
   readonly peer: PeerAddress;
   readonly term: number;
@@ -44,10 +44,10 @@
     this.#linkMs = linkMs;
   }
 
-  /** Starts one task for each peer and one that pulls. */
+  /** Starts one polling task for each peer and one task that pulls. */
   start(peers: readonly PeerAddress[]): void {
-    for (const peer of peers) void this.#lookAt(peer);
-    void this.#follow();
+    for (const peer of peers) void this.#pollPeer(peer);
+    void this.#pullLoop();
   }
 
   stop(): void {
@@ -55,47 +55,47 @@
     this.#member.changed.notify();
   }
 
-  async #lookAt(peer: PeerAddress): Promise<void> {
+  async #pollPeer(peer: PeerAddress): Promise<void> {
     while (!this.#stop.signal.aborted) {
-      await this.#pauseLooking();
-      // Pulls already tell whether the primary followed is still one.
-      if (this.#hasPrimary() && this.#upstream?.peer === peer) continue;
+      await this.#waitForNextPoll();
+      // The pull loop already detects when the followed primary steps down.
+      if (this.#hasCurrentPrimary() && this.#upstream?.peer === peer) continue;
       const state = await this.#peers.get<PeerState>(peer, STATE_PATH);
-      await this.#gate.pass();
-      if (state?.role === 'primary') this.#consider(peer, state);
+      await this.#gate.waitUntilOpen();
+      if (state?.role === 'primary') this.#followIfNewer(peer, state);
     }
   }
 
-  /** Follows a peer that is primary of a higher term than the one followed. */
-  #consider(peer: PeerAddress, state: PeerState): void {
-    this.#member.noteTerm(state.term, state.orderer);
+  /** Switches to a primary whose term is higher than that of the upstream. */
+  #followIfNewer(peer: PeerAddress, state: PeerState): void {
+    this.#member.recordTerm(state.term, state.orderer);
     if (this.#member.role === 'primary') return;
     if (state.term < this.#member.fencedTerm) return;
     if (state.term <= (this.#upstream?.term ?? 0)) return;
     const replaced = this.#upstream !== undefined;
     this.#upstream = {peer, term: state.term};
-    // The pull from the primary before would wait for its answer.
+    // A pull from the previous primary would otherwise wait for its answer.
     if (replaced) this.#peers.abort();
   }
 
-  /** Waits for the next look; a fence that ends the primary's term cuts in. */
-  async #pauseLooking(): Promise<void> {
-    const endMs = performance.now() + LOOK_INTERVAL_MS;
-    while (this.#hasPrimary() && !this.#stop.signal.aborted) {
+  /** Waits for the next poll, or until a fence ends the primary's term. */
+  async #waitForNextPoll(): Promise<void> {
+    const endMs = performance.now() + POLL_INTERVAL_MS;
+    while (this.#hasCurrentPrimary() && !this.#stop.signal.aborted) {
       const remainingMs = endMs - performance.now();
-      if (remainingMs <= 0) return await this.#gate.pass();
+      if (remainingMs <= 0) return await this.#gate.waitUntilOpen();
       await this.#member.changed.wait(remainingMs);
     }
     await this.#pause(SEARCH_INTERVAL_MS);
   }
 
-  #hasPrimary(): boolean {
+  #hasCurrentPrimary(): boolean {
     const {role, fencedTerm} = this.#member;
     if (role === 'primary') return true;
     return this.#upstream !== undefined && this.#upstream.term >= fencedTerm;
   }
 
-  async #follow(): Promise<void> {
+  async #pullLoop(): Promise<void> {
     while (!this.#stop.signal.aborted) {
       if (this.#member.role === 'primary') this.#upstream = undefined;
       const upstream = this.#upstream;
@@ -106,7 +106,7 @@
     }
   }
 
-  /** Pulls until the primary fails, is fenced off or is replaced. */
+  /** Pulls until the primary fails, is fenced off or is replaced by another. */
   async #pullFrom(upstream: Upstream): Promise<void> {
     const {log} = this.#member;
     let previous = log.last;
@@ -114,11 +114,11 @@
       const answer = await this.#pull(upstream.peer, previous);
       if (answer === undefined || answer.kind === 'notPrimary') return;
       if (answer.kind === 'mismatch') {
-        previous = log.positionAt(log.beforeTermOf(previous.offset));
+        previous = log.positionAt(log.offsetBeforeTermOf(previous.offset));
         continue;
       }
       if (!this.#member.accept(answer)) return;
-      // Not the log's end, which may be a tail that the primary does not have.
+      // The log may end in a stale tail that the primary does not have.
       const end = answer.previous.offset + answer.entries.length;
       previous = log.positionAt(end);
     }
@@ -132,12 +132,12 @@
     const answer = await this.#peers.get<PullAnswer>(peer, path);
     const carries = answer?.kind === 'entries' && answer.entries.length > 0;
     if (carries) await this.#pause(this.#linkMs);
-    await this.#gate.pass();
+    await this.#gate.waitUntilOpen();
     return this.#peers.isBlocked(peer.id) ? undefined : answer;
   }
 
   async #pause(ms: number): Promise<void> {
     await sleep(ms, undefined, {signal: this.#stop.signal}).catch(() => {});
-    await this.#gate.pass();
+    await this.#gate.waitUntilOpen();
   }
 }
--- a/standins/database/replication-messages.ts
+++ b/standins/database/replication-messages.ts
@@ -1,15 +1,15 @@
-/** What databases of a group send one another, as JSON over HTTP. */
+/** Replication messages between the databases of a group, JSON over HTTP. */
 import type {EntryBatch} from './member.js';
 
-/** The path at which a database tells its role and term. */
+/** Path that returns the role and term of a database. */
 export const STATE_PATH = '/replication/state';
-/** The path at which a primary gives its log entries. */
+/** Path that returns the log entries of a primary. */
 export const ENTRIES_PATH = '/replication/entries';
 
-/** How long a primary waits for an entry before it answers with none. */
+/** Maximum time a pull waits for an entry before it returns an empty batch. */
 export const HEARTBEAT_MS = 50;
 
-/** Entries sent in one answer. */
+/** Maximum number of entries in one answer. */
 export const MAX_BATCH_ENTRIES = 1000;
 
 /** A database's role and term. */
@@ -22,6 +22,6 @@
 /** A primary's answer to a pull. */
 export type PullAnswer =
   | ({readonly kind: 'entries'} & EntryBatch)
-  /** The logs differ at the position asked for; ask for an earlier one. */
+  /** The logs differ at the requested position; retry with an earlier one. */
   | {readonly kind: 'mismatch'; readonly term: number}
   | {readonly kind: 'notPrimary'; readonly term: number};
--- a/standins/database/replication-source.ts
+++ b/standins/database/replication-source.ts
@@ -1,4 +1,4 @@
-/** A primary's side of replication. */
+/** Primary side of replication: serves its state and its log to peers. */
 import type {Position} from '../../src/session/position.js';
 import type {GroupMember} from './member.js';
 import {
@@ -8,19 +8,19 @@
   type PullAnswer,
 } from './replication-messages.js';
 
-/** A database's role and term, for its peers. */
-export function peerState(member: GroupMember): PeerState {
+/** Returns the role and term of a database for its peers. */
+export function readPeerState(member: GroupMember): PeerState {
   return {role: member.role, term: member.term, orderer: member.fencedBy};
 }
 
-/** The entries after `previous`, waiting up to a heartbeat for one. */
-export async function answerPull(
+/** Returns the entries after `previous`; waits up to a heartbeat for one. */
+export async function servePull(
   member: GroupMember,
   previous: Position,
 ): Promise<PullAnswer> {
   const {term} = member;
   const deadlineMs = performance.now() + HEARTBEAT_MS;
-  while (hasNothingNew(member, previous)) {
+  while (isCaughtUp(member, previous)) {
     const remainingMs = deadlineMs - performance.now();
     if (remainingMs <= 0) break;
     await member.changed.wait(remainingMs);
@@ -28,7 +28,7 @@
   if (member.role !== 'primary') {
     return {kind: 'notPrimary', term: member.term};
   }
-  if (term !== member.term || !member.log.holds(previous)) {
+  if (term !== member.term || !member.log.contains(previous)) {
     return {kind: 'mismatch', term: member.term};
   }
   const nowMs = performance.now();
@@ -45,10 +45,10 @@
   };
 }
 
-function hasNothingNew(member: GroupMember, previous: Position): boolean {
+function isCaughtUp(member: GroupMember, previous: Position): boolean {
   return (
     member.role === 'primary' &&
     member.log.length === previous.offset &&
-    member.log.holds(previous)
+    member.log.contains(previous)
   );
 }
--- a/standins/database/result.ts
+++ b/standins/database/result.ts
@@ -1,21 +1,21 @@
-/** The results of statements. */
+/** Statement results and their column types. */
 
 /** A column of a result. */
 export interface ResultColumn {
   readonly name: string;
-  /** The type's object id in PostgreSQL's catalogue. */
+  /** PostgreSQL's object id of the type. */
   readonly typeOid: number;
 }
 
-/** What a statement returns; `columns` is absent where it returns no rows. */
+/** The result of a statement; without `columns` for statements without rows. */
 export interface Result {
   readonly columns?: readonly ResultColumn[];
   readonly rows?: Iterable<readonly string[]>;
-  /** The tag of CommandComplete. */
+  /** Command tag of the CommandComplete message. */
   readonly tag: string;
 }
 
-/** Object ids of the types that results use. */
+/** PostgreSQL object ids of the types in results. */
 export const TYPE_OIDS = {
   int8: 20,
   int4: 23,
@@ -24,7 +24,7 @@
   void: 2278,
 } as const;
 
-/** Text columns by name. */
+/** Returns columns of type text with the given names. */
 export function textColumns(...names: readonly string[]): ResultColumn[] {
   return names.map(name => ({name, typeOid: TYPE_OIDS.text}));
 }
--- a/standins/database/send-result.ts
+++ b/standins/database/send-result.ts
@@ -1,9 +1,9 @@
-/** Sends a statement's rows with back-pressure. */
+/** Sends the rows of a result with backpressure. */
 import type {AnswerWriter} from './answer-writer.js';
 import {commandComplete, dataRow} from './messages.js';
 import type {Result} from './result.js';
 
-/** Sends all rows of a result and its tag. */
+/** Sends all rows of a result and its command tag. */
 export async function sendResult(
   writer: AnswerWriter,
   result: Result,
@@ -15,7 +15,7 @@
   writer.write(commandComplete(result.tag));
 }
 
-/** Sends at most `limit` rows; whether the rows ended. */
+/** Sends at most `limit` rows; returns true if there are no more. */
 export async function sendRows(
   writer: AnswerWriter,
   rows: Iterator<readonly string[]>,
--- a/standins/database/session.ts
+++ b/standins/database/session.ts
@@ -1,4 +1,4 @@
-/** One connection's statements and transaction. */
+/** Executes the statements of one connection and tracks its transaction. */
 import type {Position} from '../../src/session/position.js';
 import {runControl} from './control.js';
 import type {GroupMember} from './member.js';
@@ -12,23 +12,23 @@
 /** An open transaction. */
 interface Transaction {
   readonly writes: WriteSet;
-  /** The term this database led when it began; undefined on a replica. */
+  /** Term of the primary when the transaction began; undefined on a replica. */
   readonly term: number | undefined;
-  /** Whether BEGIN opened it, rather than a statement of its own. */
+  /** True if BEGIN opened it; false for the implicit transaction of a batch. */
   explicit: boolean;
   failed: boolean;
 }
 
-/** The transaction status that ReadyForQuery shows. */
+/** Transaction status in ReadyForQuery: idle, in transaction or failed. */
 export type TransactionCode = 'I' | 'T' | 'E';
 
 /** A statement's result and the position at which it ran. */
-export interface Executed {
+export interface ExecutedStatement {
   readonly result: Result;
   readonly position: Position;
 }
 
-/** One connection's session. */
+/** The session of one connection. */
 export class Session {
   readonly #member: GroupMember;
   readonly #runner: StatementRunner;
@@ -49,7 +49,7 @@
     this.#control = control;
   }
 
-  /** The position at which a read would run now. */
+  /** Position that a read would include now. */
   get position(): Position {
     return this.#member.applied;
   }
@@ -61,29 +61,32 @@
     return this.#transaction.failed ? 'E' : 'T';
   }
 
-  /** Runs a statement; a failure also fails the transaction. */
+  /** Executes a statement; an error also fails the transaction. */
   async execute(
     statement: Statement,
     parameters: readonly (string | null)[],
     signal: AbortSignal,
-  ): Promise<Executed> {
+  ): Promise<ExecutedStatement> {
     try {
       return await this.#execute(statement, parameters, signal);
     } catch (err) {
       this.fail();
-      // A COMMIT ends its transaction also when it fails.
+      // A failed COMMIT also ends its transaction.
       if (statement.kind === 'commit') this.#transaction = undefined;
       throw err;
     }
   }
 
-  /** Marks the transaction as failed, as any error in it does. */
+  /** Marks an explicit transaction as failed; discards an implicit one. */
   fail(): void {
     if (this.#transaction?.explicit) this.#transaction.failed = true;
     else this.#transaction = undefined;
   }
 
-  /** Commits what ran outside an explicit transaction; the batch ends here. */
+  /**
+   * Ends a batch: commits its implicit transaction. Returns the position of the
+   * last commit of the batch, if any.
+   */
   endBatch(): Position | undefined {
     const transaction = this.#transaction;
     if (transaction !== undefined && !transaction.explicit) this.#commit();
@@ -96,7 +99,7 @@
     statement: Statement,
     parameters: readonly (string | null)[],
     signal: AbortSignal,
-  ): Promise<Executed> {
+  ): Promise<ExecutedStatement> {
     this.#checkTransaction(statement);
     switch (statement.kind) {
       case 'status':
@@ -150,16 +153,19 @@
     }
   }
 
-  /** The open transaction, or a new one; writes need a primary. */
-  #begin(mayRead: boolean): Transaction {
+  /**
+   * Returns the open transaction or begins one. Throws SqlError 25006 on a
+   * replica unless `allowReplica`.
+   */
+  #begin(allowReplica: boolean): Transaction {
     const {role, term, fencedTerm, rows} = this.#member;
-    const leads = role === 'primary' && fencedTerm <= term;
-    if (!leads && !mayRead) {
+    const isPrimary = role === 'primary' && fencedTerm <= term;
+    if (!isPrimary && !allowReplica) {
       throw new SqlError('25006', 'cannot write on a replica');
     }
     this.#transaction ??= {
       writes: new WriteSet(rows),
-      term: leads ? term : undefined,
+      term: isPrimary ? term : undefined,
       explicit: false,
       failed: false,
     };
@@ -184,7 +190,7 @@
   #commit(): Result {
     const transaction = this.#transaction;
     this.#transaction = undefined;
-    if (transaction !== undefined && !transaction.writes.empty) {
+    if (transaction !== undefined && !transaction.writes.isEmpty) {
       this.#committed = this.#member.commit(
         transaction.term ?? 0,
         transaction.writes,
--- a/standins/database/signal.ts
+++ b/standins/database/signal.ts
@@ -1,10 +1,10 @@
-/** Waiting for changes, and pausing a whole database. */
+/** Change notification, a freeze gate for a database and an abortable sleep. */
 
-/** Wakes waiters when something changed; they check their own conditions. */
+/** Wakes all waiters on a change; each checks its own condition again. */
 export class ChangeSignal {
   readonly #waiters = new Set<() => void>();
 
-  /** Resolves at the next notification, or after `timeoutMs`. */
+  /** Resolves at the next notification or after `timeoutMs`. */
   wait(timeoutMs: number): Promise<void> {
     return new Promise(resolve => {
       const finish = () => {
@@ -22,36 +22,37 @@
   }
 }
 
-/** Holds all work back while the database is frozen. */
+/** Blocks all work while the database is frozen. */
 export class FreezeGate {
-  #opening: Promise<void> | undefined;
+  #unfrozen: Promise<void> | undefined;
   #timer: NodeJS.Timeout | undefined;
   #open: (() => void) | undefined;
 
   get frozen(): boolean {
-    return this.#opening !== undefined;
+    return this.#unfrozen !== undefined;
   }
 
-  /** Freezes for `ms` from now; a running freeze is extended or shortened. */
+  /** Freezes for `ms` from now; replaces the end of a running freeze. */
   freeze(ms: number): void {
     clearTimeout(this.#timer);
-    this.#opening ??= new Promise(resolve => (this.#open = resolve));
+    this.#unfrozen ??= new Promise(resolve => (this.#open = resolve));
     this.#timer = setTimeout(() => this.release(), ms);
   }
 
+  /** Ends the freeze. */
   release(): void {
     clearTimeout(this.#timer);
-    this.#opening = undefined;
+    this.#unfrozen = undefined;
     this.#open?.();
   }
 
-  /** Resolves once the database is not frozen. */
-  async pass(): Promise<void> {
-    while (this.#opening !== undefined) await this.#opening;
+  /** Resolves when the database is not frozen. */
+  async waitUntilOpen(): Promise<void> {
+    while (this.#unfrozen !== undefined) await this.#unfrozen;
   }
 }
 
-/** Resolves after `ms`; rejects with the signal's reason when it aborts. */
+/** Resolves after `ms`; rejects with the signal's reason on abort. */
 export function abortableSleep(ms: number, signal: AbortSignal): Promise<void> {
   return new Promise((resolve, reject) => {
     if (signal.aborted) return reject(signal.reason as Error);
--- a/standins/database/slots.ts
+++ b/standins/database/slots.ts
@@ -1,4 +1,4 @@
-/** A bounded number of statements at the same time, first come first served. */
+/** A FIFO semaphore that bounds the number of concurrent statements. */
 export class Slots {
   readonly #limit: number;
   readonly #queue: (() => void)[] = [];
@@ -12,7 +12,7 @@
     return this.#used;
   }
 
-  /** Waits for a slot; rejects with the signal's reason when it aborts. */
+  /** Waits for a slot; rejects with the signal's reason on abort. */
   acquire(signal: AbortSignal): Promise<void> {
     if (this.#used < this.#limit) {
       this.#used++;
@@ -32,7 +32,7 @@
     });
   }
 
-  /** Gives a slot back; the first in the queue takes it over. */
+  /** Releases a slot, or hands it to the first waiter in the queue. */
   release(): void {
     const next = this.#queue.shift();
     if (next === undefined) this.#used--;
--- a/standins/database/sql-error.ts
+++ b/standins/database/sql-error.ts
@@ -1,4 +1,4 @@
-/** A failed statement, as ErrorResponse reports it. */
+/** Error with a SQLSTATE code, sent to the client as an ErrorResponse. */
 export class SqlError extends Error {
   constructor(
     readonly code: string,
--- a/standins/database/sql-parser.ts
+++ b/standins/database/sql-parser.ts
@@ -1,4 +1,4 @@
-/** Recognises the stand-in's statements by pattern. */
+/** Parses the supported SQL statements by matching regular expressions. */
 import {SqlError} from './sql-error.js';
 import {splitStatements} from './sql-text.js';
 import type {Column, Condition, Operand, Statement} from './sql.js';
@@ -92,7 +92,7 @@
 ];
 
 /**
- * Reads the statements of `text`; throws SqlError 42601 at an unknown one.
+ * Parses all statements in `text`; throws SqlError 42601 for an unsupported one.
  *
  * @example
  * parseStatements('BEGIN; SELECT 1');
@@ -101,7 +101,7 @@
   return splitStatements(text).map(parseStatement);
 }
 
-/** The number of parameters that a statement takes. */
+/** Returns the highest parameter number (`$n`) in a statement. */
 export function countParameters(text: string): number {
   const indexes = [...text.matchAll(/\$(\d+)/g)].map(match => Number(match[1]));
   return Math.max(0, ...indexes);
--- a/standins/database/sql-text.ts
+++ b/standins/database/sql-text.ts
@@ -1,11 +1,11 @@
-/** Splits SQL text into statements in a normal form that patterns can match. */
+/** Splits SQL text into normalised statements for pattern matching. */
 
 const TOKEN = /'(?:[^']|'')*'|--[^\n]*|\/\*[\s\S]*?\*\/|;|[^'\-/;]+|./g;
 
 /**
- * Splits `text` at its semicolons, drops comments, and brings each statement
- * to lower case and single spaces, with none around punctuation. Quoted text
- * stays as it is. Empty statements are dropped.
+ * Splits `text` at semicolons. Converts each statement to lower case with
+ * single spaces and none around punctuation; quoted text is unchanged. Comments
+ * and empty statements are removed.
  *
  * @example
  * splitStatements("SELECT  1; BEGIN"); // ['select 1', 'begin']
@@ -32,11 +32,11 @@
 function normalise(statement: string): string {
   return statement
     .split(/('(?:[^']|'')*')/)
-    .map((part, index) => (index % 2 === 0 ? squeeze(part) : part))
+    .map((part, index) => (index % 2 === 0 ? collapseSpaces(part) : part))
     .join('')
     .trim();
 }
 
-function squeeze(text: string): string {
+function collapseSpaces(text: string): string {
   return text.replace(/\s+/g, ' ').replace(/ ?([(),=+-]) ?/g, '$1');
 }
--- a/standins/database/sql.ts
+++ b/standins/database/sql.ts
@@ -1,6 +1,6 @@
-/** The few SQL statements that the stand-in understands, as data. */
+/** Syntax tree of the supported SQL statements. */
 
-/** A value in a statement: a parameter's number or a literal. */
+/** A value in a statement: a parameter (numbered from 1) or a literal. */
 export type Operand =
   | {readonly kind: 'parameter'; readonly index: number}
   | {readonly kind: 'literal'; readonly text: string};
@@ -42,7 +42,7 @@
       readonly where: Condition | undefined;
     };
 
-/** A control function of the platform. */
+/** A call of a control function of the schema `platform`. */
 export type ControlStatement =
   | {readonly kind: 'status'}
   | {readonly kind: 'fence'; readonly term: number; readonly orderer: string}
@@ -54,7 +54,7 @@
       readonly timeoutMs: number;
     };
 
-/** One statement. */
+/** Any supported statement. */
 export type Statement =
   | TableStatement
   | ControlStatement
--- a/standins/database/startup.ts
+++ b/standins/database/startup.ts
@@ -1,4 +1,4 @@
-/** Start-up of a connection: version, credentials and limits. */
+/** Start-up of a connection: protocol version and authentication. */
 import type net from 'node:net';
 import type {FrameReader} from '../../src/targets/frames.js';
 import type {AnswerWriter} from './answer-writer.js';
@@ -14,10 +14,10 @@
 const SSL_REQUEST = 80877103;
 const GSS_REQUEST = 80877104;
 const PROTOCOL_MAJOR = 3;
-/** Offset of the code in a start-up message. */
+/** Offset of the request code in a start-up message. */
 const CODE_OFFSET_BYTES = 4;
 
-/** What a peer asked for at start-up. */
+/** The first request of a client: a cancellation or a new connection. */
 export type StartupRequest =
   | {
       readonly kind: 'cancel';
@@ -29,14 +29,14 @@
       readonly parameters: ReadonlyMap<string, string>;
     };
 
-/** What the database saw of whoever connected. */
+/** Credentials and start-up parameters that a client presented. */
 export interface SeenCredentials {
   readonly user: string;
   readonly password: string;
   readonly parameters: Readonly<Record<string, string>>;
 }
 
-/** Reads up to the start-up message; undefined if the peer left before it. */
+/** Reads the start-up request; undefined if the client disconnects first. */
 export async function readStartup(
   socket: net.Socket,
   reader: FrameReader,
@@ -58,13 +58,13 @@
   }
 }
 
-/** Checks the node's own credentials; records what was presented. */
+/** Checks and records the presented credentials; returns the user name. */
 export async function authenticate(
   parameters: ReadonlyMap<string, string>,
   reader: FrameReader,
   writer: AnswerWriter,
   options: DatabaseOptions,
-  seen: (credentials: SeenCredentials) => void,
+  recordCredentials: (credentials: SeenCredentials) => void,
 ): Promise<string> {
   const user = parameters.get('user') ?? '';
   writer.write(authenticationCleartext);
@@ -74,7 +74,11 @@
     throw new SqlError('28000', 'a password was expected', 'FATAL');
   }
   const password = new BodyReader(frame.bytes).string();
-  seen({user, password, parameters: Object.fromEntries(parameters)});
+  recordCredentials({
+    user,
+    password,
+    parameters: Object.fromEntries(parameters),
+  });
   if (user !== options.nodeUser || password !== options.nodePassword) {
     throw new SqlError('28P01', `authentication failed for "${user}"`, 'FATAL');
   }
--- a/standins/database/statement-runner.ts
+++ b/standins/database/statement-runner.ts
@@ -1,15 +1,15 @@
-/** Runs statements in a bounded number of slots, each for its service time. */
+/** Runs statements with bounded concurrency and a simulated service time. */
 import type {FreezeGate} from './signal.js';
 import {abortableSleep} from './signal.js';
 import {Slots} from './slots.js';
 
-/** What has run so far. */
+/** Number of statements run, and the highest number that ran concurrently. */
 export interface StatementCounts {
   readonly statements: number;
   readonly maxConcurrent: number;
 }
 
-/** Runs statements in slots. */
+/** Runs each statement in one of a fixed number of slots. */
 export class StatementRunner {
   readonly #slots: Slots;
   readonly #gate: FreezeGate;
@@ -30,11 +30,13 @@
     };
   }
 
-  setService(serviceMs: number): void {
+  setServiceTime(serviceMs: number): void {
     this.#serviceMs = serviceMs;
   }
 
-  /** Evaluates once a slot was held for the service time and `extraMs`. */
+  /**
+   * Calls `evaluate` after holding a slot for the service time plus `extraMs`.
+   */
   async run<T>(
     extraMs: number,
     signal: AbortSignal,
@@ -46,7 +48,7 @@
     try {
       const holdMs = this.#serviceMs + extraMs;
       if (holdMs > 0) await abortableSleep(holdMs, signal);
-      await this.#gate.pass();
+      await this.#gate.waitUntilOpen();
       return evaluate();
     } finally {
       this.#slots.release();
--- a/standins/database/statements.ts
+++ b/standins/database/statements.ts
@@ -1,5 +1,5 @@
-/** Evaluates reads and resolves the operands of writes. */
-import {controlColumns} from './control.js';
+/** Evaluates read statements and resolves the operands of writes. */
+import {describeControlColumns} from './control.js';
 import {TYPE_OIDS, type Result, type ResultColumn} from './result.js';
 import {SqlError} from './sql-error.js';
 import type {
@@ -14,7 +14,7 @@
 
 type Parameters = readonly (string | null)[];
 
-/** The columns a statement returns; undefined for one without rows. */
+/** Returns the result columns; undefined for a statement without rows. */
 export function describeColumns(
   statement: Statement,
 ): readonly ResultColumn[] | undefined {
@@ -38,13 +38,13 @@
     case 'fence':
     case 'promote':
     case 'confirm':
-      return controlColumns(statement);
+      return describeControlColumns(statement);
     default:
       return undefined;
   }
 }
 
-/** Evaluates a statement that reads. */
+/** Evaluates a read statement. */
 export function readRows(
   statement: Statement,
   parameters: Parameters,
@@ -78,7 +78,7 @@
   }
 }
 
-/** Resolves the operands of a write. */
+/** Replaces the operands of a write statement by their values. */
 export function resolveWrite(
   statement: Extract<TableStatement, {kind: 'insert' | 'update' | 'delete'}>,
   parameters: Parameters,
@@ -113,7 +113,7 @@
   }
 }
 
-/** The text of an operand. */
+/** Returns the text value of an operand. */
 export function textOf(operand: Operand, parameters: Parameters): string {
   if (operand.kind === 'literal') return operand.text;
   const value = parameters[operand.index - 1];
--- a/standins/database/tables.ts
+++ b/standins/database/tables.ts
@@ -1,6 +1,6 @@
-/** Tables of rows, and the changes that the log replays on them. */
+/** In-memory tables and the row changes that the log replays. */
 
-/** One row. */
+/** A row; all tables have the same columns. */
 export interface Row {
   readonly id: string;
   readonly team: string;
@@ -14,13 +14,13 @@
   readonly row: Row | null;
 }
 
-/** What reads need of tables. */
+/** Read access to tables. */
 export interface RowSource {
   get(table: string, id: string): Row | undefined;
   rows(table: string): Iterable<Row>;
 }
 
-/** The tables of one database, created on first use. */
+/** The tables of one database; a table is created by its first write. */
 export class Tables implements RowSource {
   readonly #tables = new Map<string, Map<string, Row>>();
 
--- a/standins/database/write-set.ts
+++ b/standins/database/write-set.ts
@@ -19,10 +19,10 @@
   | {readonly kind: 'delete'; readonly table: string; readonly id: string};
 
 /**
- * Writes laid over a row source, so that a transaction reads its own.
+ * Overlays writes on a row source, so that a transaction reads its own writes.
  *
- * Writes are kept as operations and run again at commit on the rows as they
- * are then; concurrent additions to a row are therefore not lost.
+ * The writes are operations that are evaluated again at commit on the rows of
+ * that time, so concurrent increments of a row are not lost.
  */
 export class WriteSet implements RowSource {
   readonly #base: RowSource;
@@ -33,8 +33,8 @@
     this.#base = base;
   }
 
-  /** Whether there is nothing to commit. */
-  get empty(): boolean {
+  /** True if there is nothing to commit. */
+  get isEmpty(): boolean {
     return this.#writes.length === 0;
   }
 
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Performs a write and returns the number of rows it touched. */
+  /** Evaluates a write and returns the number of affected rows. */
   write(write: Write): number {
     const change = this.#evaluate(write);
     if (change === undefined) return 0;
@@ -62,11 +62,11 @@
     return 1;
   }
 
-  /** The changes to commit, from the writes run on the rows as they are now. */
+  /** Evaluates all writes on the current rows and returns the changes. */
   rebase(): readonly Change[] {
-    const fresh = new WriteSet(this.#base);
-    for (const write of this.#writes) fresh.write(write);
-    return [...fresh.#changes.values()];
+    const rebased = new WriteSet(this.#base);
+    for (const write of this.#writes) rebased.write(write);
+    return [...rebased.#changes.values()];
   }
 
   #evaluate(write: Write): Change | undefined {
--- a/standins/kv/server.ts
+++ b/standins/kv/server.ts
@@ -37,11 +37,11 @@
   /** Calls get no answer. */
   silent: boolean;
   /** Calls get this status. */
-  refuseWith: number | undefined;
+  failWithStatus: number | undefined;
   /** Polls pass over what changes meanwhile. */
   muted: boolean;
   /** Writes are done and not answered. */
-  loseWrites: boolean;
+  loseWriteResponses: boolean;
 }
 
 /**
@@ -52,9 +52,9 @@
 export class KvServer {
   readonly faults: KvFaults = {
     silent: false,
-    refuseWith: undefined,
+    failWithStatus: undefined,
     muted: false,
-    loseWrites: false,
+    loseWriteResponses: false,
   };
   /** Calls so far by method and path. */
   readonly calls = new Map<string, number>();
@@ -63,7 +63,7 @@
   readonly #leases = new Map<number, Lease>();
   readonly #waiting = new Set<() => void>();
   #history: Change[] = [];
-  #forgotten = 0;
+  #compactedRevision = 0;
   #revision = 1;
   #nextLease = 100;
 
@@ -107,8 +107,8 @@
   /** Forgets all history and cuts waiting polls. */
   compact(): void {
     this.#history = [];
-    this.#forgotten = this.#revision;
-    this.#wake();
+    this.#compactedRevision = this.#revision;
+    this.#notifyWaiters();
   }
 
   async stop(): Promise<void> {
@@ -124,8 +124,8 @@
     const chunks: Buffer[] = [];
     for await (const chunk of req) chunks.push(chunk as Buffer);
     if (this.faults.silent) return;
-    if (this.faults.refuseWith !== undefined) {
-      res.statusCode = this.faults.refuseWith;
+    if (this.faults.failWithStatus !== undefined) {
+      res.statusCode = this.faults.failWithStatus;
       res.end();
       return;
     }
@@ -133,7 +133,7 @@
     const body =
       text === '' ? {} : (JSON.parse(text) as Record<string, unknown>);
     const answer = await this.#answer(name, url, body);
-    if (this.faults.loseWrites && req.method === 'POST') return;
+    if (this.faults.loseWriteResponses && req.method === 'POST') return;
     res.statusCode = answer.status;
     res.setHeader('content-type', 'application/json');
     res.end(JSON.stringify(answer.body ?? {}));
@@ -155,7 +155,7 @@
       case 'POST /kv-lease':
         return this.#grant(Number(body['ttl_ms']));
       case 'POST /kv-keep':
-        return this.#keep(id);
+        return this.#keepAlive(id);
       case 'DELETE /kv-lease-end':
         this.#endLease(id);
         return {status: 200};
@@ -178,7 +178,7 @@
     const after = Number(query.get('after'));
     const until = Date.now() + Number(query.get('wait_ms'));
     for (;;) {
-      if (after < this.#forgotten) return {status: 410};
+      if (after < this.#compactedRevision) return {status: 410};
       const events = this.faults.muted
         ? []
         : this.#history.filter(
@@ -188,7 +188,7 @@
       if (events.length > 0 || leftMs <= 0) {
         return {status: 200, body: {events, as_of: this.#revision}};
       }
-      await this.#nextChange(leftMs);
+      await this.#waitForChange(leftMs);
     }
   }
 
@@ -221,7 +221,7 @@
     return {status: 200, body: {lease, ttl_ms: ttlMs}};
   }
 
-  #keep(id: number): Answer {
+  #keepAlive(id: number): Answer {
     const lease = this.#leases.get(id);
     if (lease === undefined) return {status: 404};
     clearTimeout(lease.timer);
@@ -243,21 +243,21 @@
     const item = {key, value, revision, created_at: created, lease};
     this.#items.set(key, item);
     this.#history.push(item);
-    this.#wake();
+    this.#notifyWaiters();
     return revision;
   }
 
   #remove(key: string): void {
     if (!this.#items.delete(key)) return;
     this.#history.push({key, revision: ++this.#revision, removed: true});
-    this.#wake();
+    this.#notifyWaiters();
   }
 
-  #wake(): void {
+  #notifyWaiters(): void {
     for (const wake of [...this.#waiting]) wake();
   }
 
-  #nextChange(ms: number): Promise<void> {
+  #waitForChange(ms: number): Promise<void> {
     return new Promise(resolve => {
       const done = () => {
         clearTimeout(timer);
--- a/standins/lines/database.ts
+++ b/standins/lines/database.ts
@@ -40,7 +40,7 @@
   /** Statements run and are not answered. */
   loseAnswers: boolean;
   /** How long each read, write and commit takes. */
-  workMs: number;
+  serviceMs: number;
 }
 
 interface Connection {
@@ -49,14 +49,14 @@
   team: string;
   state: 'I' | 'T' | 'E';
   transaction: number;
-  isPlain: boolean;
+  isReadWrite: boolean;
   writes: [string, string][];
   readonly values: Map<string, string>;
   readonly prepared: Map<string, string>;
 }
 
 /** Reads, writes and commits take a turn; the rest is answered at once. */
-const WORKING = /^(READ|WRITE|COMMIT|EXECUTE)\b/;
+const TIMED_STATEMENT = /^(READ|WRITE|COMMIT|EXECUTE)\b/;
 
 /** One database of a group. */
 export class LineDatabase {
@@ -64,7 +64,7 @@
   readonly faults: DatabaseFaults = {
     dark: false,
     loseAnswers: false,
-    workMs: 0,
+    serviceMs: 0,
   };
   readonly runs: StatementRun[] = [];
   readonly commits: Commit[] = [];
@@ -74,7 +74,7 @@
   readonly #options: LineDatabaseOptions;
   readonly #server: Server;
   readonly #connections = new Set<Connection>();
-  #opened = 0;
+  #openedConnections = 0;
   #transactions = 0;
 
   constructor(options: LineDatabaseOptions) {
@@ -99,8 +99,8 @@
   }
 
   /** Connections that were ever opened. */
-  get opened(): number {
-    return this.#opened;
+  get openedConnections(): number {
+    return this.#openedConnections;
   }
 
   /** The last value of an item. */
@@ -116,12 +116,12 @@
     return new Promise(resolve => this.#server.listen(0, '127.0.0.1', resolve));
   }
 
-  lead(term: number): void {
+  becomePrimary(term: number): void {
     this.#isPrimary = true;
     this.term = term;
   }
 
-  follow(): void {
+  becomeReplica(): void {
     this.#isPrimary = false;
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** Drops what the promoted database does not have. */
-  cutBackTo(leader: LineDatabase): void {
+  truncateTo(leader: LineDatabase): void {
     this.commits.splice(leader.commits.length);
     this.term = leader.term;
   }
@@ -155,12 +155,12 @@
     socket.setEncoding('latin1');
     socket.on('error', () => socket.destroy());
     const connection: Connection = {
-      number: ++this.#opened,
+      number: ++this.#openedConnections,
       socket,
       team: '',
       state: 'I',
       transaction: 0,
-      isPlain: false,
+      isReadWrite: false,
       writes: [],
       values: new Map(),
       prepared: new Map(),
@@ -189,10 +189,10 @@
     const [id = '', ...words] = fields;
     const text = words.join(' ');
     if (
-      WORKING.test(text.replace(/^AFTER \S+ /, '')) &&
-      this.faults.workMs > 0
+      TIMED_STATEMENT.test(text.replace(/^AFTER \S+ /, '')) &&
+      this.faults.serviceMs > 0
     ) {
-      await new Promise(resolve => setTimeout(resolve, this.faults.workMs));
+      await new Promise(resolve => setTimeout(resolve, this.faults.serviceMs));
     }
     const answer = this.#run(connection, id, text);
     if (this.faults.dark || this.faults.loseAnswers) return;
@@ -230,7 +230,7 @@
         if (first !== 'READ' && !this.#isPrimary) return 'ERROR READONLY';
         connection.state = 'T';
         connection.transaction = ++this.#transactions;
-        connection.isPlain = first !== 'READ';
+        connection.isReadWrite = first !== 'READ';
         return 'DONE -';
       case 'ROLLBACK':
         this.#end(connection);
@@ -253,21 +253,21 @@
       case 'EXECUTE': {
         const access = connection.prepared.get(first)?.split(' ')[0];
         if (access === undefined) return this.#fail(connection, 'NOSTMT');
-        return this.#work(connection, id, text, access, rest);
+        return this.#runAccess(connection, id, text, access, rest);
       }
       default:
-        return this.#work(connection, id, text, word, [first, ...rest]);
+        return this.#runAccess(connection, id, text, word, [first, ...rest]);
     }
   }
 
-  #work(
+  #runAccess(
     connection: Connection,
     id: string,
     text: string,
     access: string,
     [item = '', ...data]: string[],
   ): string {
-    const isDeposed = connection.isPlain && !this.#isPrimary;
+    const isDeposed = connection.isReadWrite && !this.#isPrimary;
     const isWrite = access === 'WRITE';
     if (
       (isWrite || (connection.state === 'T' && isDeposed)) &&
@@ -305,7 +305,7 @@
   #end(connection: Connection): void {
     connection.state = 'I';
     connection.transaction = 0;
-    connection.isPlain = false;
+    connection.isReadWrite = false;
     connection.writes = [];
   }
 
--- a/standins/lines/group.ts
+++ b/standins/lines/group.ts
@@ -46,7 +46,7 @@
   static async start(options: LineGroupOptions): Promise<LineGroup> {
     const group = new LineGroup(options);
     await Promise.all(group.databases.map(one => one.listen()));
-    group.databases[0]!.lead(1);
+    group.databases[0]!.becomePrimary(1);
     return group;
   }
 
@@ -65,10 +65,10 @@
     if (chosen === undefined || chosen.isStopped) return false;
     this.tokens.push(token);
     const term = Math.max(...this.databases.map(one => one.term)) + 1;
-    for (const one of this.databases) one.follow();
+    for (const one of this.databases) one.becomeReplica();
     setTimeout(() => {
-      chosen.lead(term);
-      for (const one of this.databases) one.cutBackTo(chosen);
+      chosen.becomePrimary(term);
+      for (const one of this.databases) one.truncateTo(chosen);
     }, this.#promoteMs);
     return true;
   }
--- a/standins/store/calls.ts
+++ b/standins/store/calls.ts
@@ -73,7 +73,7 @@
 
 function handleTxn(data: StoreData, body: Body): CallAnswer {
   const succeeded = readArray(body, 'compare').every(compare =>
-    isTrue(data, compare),
+    isComparisonTrue(data, compare),
   );
   const operations = readArray(body, succeeded ? 'success' : 'failure');
   const puts = operations
@@ -98,7 +98,7 @@
   };
 }
 
-function isTrue({revisions}: StoreData, compare: Body): boolean {
+function isComparisonTrue({revisions}: StoreData, compare: Body): boolean {
   const {start} = readRange(compare);
   const result = compare.result ?? 'EQUAL';
   if (result !== 'EQUAL') {
--- a/standins/store/faults.ts
+++ b/standins/store/faults.ts
@@ -25,7 +25,7 @@
   }
 
   /** Whether this write's answer is lost; counts it. */
-  takeLostAnswer(): boolean {
+  consumeLostAnswer(): boolean {
     if (this.#lostAnswers === 0) return false;
     this.#lostAnswers -= 1;
     return true;
--- a/standins/store/leases.ts
+++ b/standins/store/leases.ts
@@ -25,7 +25,7 @@
   /** Grants a lease; resolves its id. */
   grant(ttlSeconds: number): string {
     const id = String(randomInt(1, MAX_LEASE_ID));
-    this.#leases.set(id, {ttlSeconds, timer: this.#arm(id, ttlSeconds)});
+    this.#leases.set(id, {ttlSeconds, timer: this.#startExpiryTimer(id, ttlSeconds)});
     return id;
   }
 
@@ -34,7 +34,7 @@
     const lease = this.#leases.get(id);
     if (lease === undefined) return undefined;
     clearTimeout(lease.timer);
-    lease.timer = this.#arm(id, lease.ttlSeconds);
+    lease.timer = this.#startExpiryTimer(id, lease.ttlSeconds);
     return lease.ttlSeconds;
   }
 
@@ -54,7 +54,7 @@
     this.#leases.clear();
   }
 
-  #arm(id: string, ttlSeconds: number): NodeJS.Timeout {
+  #startExpiryTimer(id: string, ttlSeconds: number): NodeJS.Timeout {
     return setTimeout(() => this.revoke(id), ttlSeconds * 1000);
   }
 }
--- a/standins/store/server.ts
+++ b/standins/store/server.ts
@@ -13,7 +13,7 @@
 import {Leases} from './leases.js';
 import {GatewayError, readBody, sendJson, type Body} from './messages.js';
 import {Revisions} from './revisions.js';
-import {SWITCH_PREFIX, serveSwitch} from './switches.js';
+import {CONTROL_PREFIX, serveControlRequest} from './switches.js';
 import {WatchStream} from './watch.js';
 
 const HOST = '127.0.0.1';
@@ -166,7 +166,7 @@
 
   async #serve(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const path = req.url ?? '/';
-    if (path.startsWith(SWITCH_PREFIX)) return serveSwitch(this, req, res);
+    if (path.startsWith(CONTROL_PREFIX)) return serveControlRequest(this, req, res);
     if (this.faults.reset) {
       res.destroy();
       return;
@@ -187,7 +187,7 @@
   ): Promise<void> {
     this.#calls.add(route.kind);
     const {status, answer, wrote} = this.#call(route, body);
-    if (wrote && this.faults.takeLostAnswer()) {
+    if (wrote && this.faults.consumeLostAnswer()) {
       res.destroy();
       return;
     }
--- a/standins/store/switches.ts
+++ b/standins/store/switches.ts
@@ -4,15 +4,15 @@
 import type {StoreServer} from './server.js';
 
 /** The paths of the switches begin so. */
-export const SWITCH_PREFIX = '/standin/';
+export const CONTROL_PREFIX = '/standin/';
 
 /** Sets one switch, or answers with the calls so far. */
-export async function serveSwitch(
+export async function serveControlRequest(
   server: StoreServer,
   req: IncomingMessage,
   res: ServerResponse,
 ): Promise<void> {
-  const name = (req.url ?? '').slice(SWITCH_PREFIX.length);
+  const name = (req.url ?? '').slice(CONTROL_PREFIX.length);
   if (name === 'calls') return sendJson(res, 200, server.calls);
   const body = await readBody(req);
   switch (name) {
@@ -26,14 +26,14 @@
       server.compact();
       return sendJson(res, 200, {});
     case 'outage':
-      return switchOutage(server, body, res);
+      return controlOutage(server, body, res);
     default:
       return sendJson(res, 404, {message: `no switch ${name}`});
   }
 }
 
 /** `{ms}` refuses connections for a time; `{on}` resets them until told. */
-async function switchOutage(
+async function controlOutage(
   server: StoreServer,
   body: Body,
   res: ServerResponse,
--- a/test/standins/database-member.test.ts
+++ b/test/standins/database-member.test.ts
@@ -2,7 +2,7 @@
 import {expect, it} from 'vitest';
 import {comparePositions, type Position} from '../../src/session/position.js';
 import {GroupMember, startAsPrimary} from '../../standins/database/member.js';
-import {answerPull} from '../../standins/database/replication-source.js';
+import {servePull} from '../../standins/database/replication-source.js';
 import {FreezeGate} from '../../standins/database/signal.js';
 import {Tables} from '../../standins/database/tables.js';
 import {WriteSet} from '../../standins/database/write-set.js';
@@ -63,12 +63,12 @@
     for (;;) {
       if (from.role !== 'primary' || to.role === 'primary') return;
       if (comparePositions(from.log.last, previous) === 0) return;
-      const answer = await answerPull(from, previous);
+      const answer = await servePull(from, previous);
       if (answer.kind === 'entries') {
         expect(to.accept(answer)).toBe(from.term >= to.fencedTerm);
         break;
       }
-      previous = to.log.positionAt(to.log.beforeTermOf(previous.offset));
+      previous = to.log.positionAt(to.log.offsetBeforeTermOf(previous.offset));
     }
     for (const write of this.writes) {
       const {term} = write.position;
