--- a/standins/database/member.ts
+++ b/standins/database/member.ts
@@ -197,8 +197,8 @@
 
   /**
    * Appends an entry after truncating the entries that conflict with it. Each
-   * promotion appends an entry of its own term, so a stale tail always conflicts
-   * with the new primary's log and is removed.
+   * promotion appends an entry of its own term, so a stale tail always
+   * conflicts with the new primary's log and is removed.
    */
   #store(entry: LogEntry & {readonly ageMs: number}): void {
     if (this.log.contains(entry)) return;
--- a/standins/database/sql-parser.ts
+++ b/standins/database/sql-parser.ts
@@ -92,7 +92,7 @@
 ];
 
 /**
- * Parses all statements in `text`; throws SqlError 42601 for an unsupported one.
+ * Parses all statements in `text`; throws SqlError 42601 if one is unsupported.
  *
  * @example
  * parseStatements('BEGIN; SELECT 1');
--- a/standins/store/calls.ts
+++ b/standins/store/calls.ts
@@ -1,4 +1,4 @@
-/** The calls of the store, one function each, without their transport. */
+/** Implements the calls of the etcd v3 gateway, independent of HTTP. */
 import type {CallKind} from './faults.js';
 import type {Leases} from './leases.js';
 import {
@@ -15,31 +15,34 @@
 } from './messages.js';
 import type {PutRequest, Revisions} from './revisions.js';
 
-/** The largest value that the store takes. */
+/** Maximum size of a value. */
 export const MAX_VALUE_BYTES = 1024 * 1024;
 
-/** What the calls work on. */
+/** The keys and leases that calls read and change. */
 export interface StoreData {
   readonly revisions: Revisions;
   readonly leases: Leases;
 }
 
-/** The answer to a call, and whether it wrote. */
+/** The response to a call. */
 export interface CallAnswer {
   readonly body: Body;
+  /** True if the call changed a key or a lease; its response may be lost. */
   readonly wrote: boolean;
 }
 
-/** Handles one call; throws a {@link GatewayError} when it is refused. */
+/**
+ * Handles one call; throws a {@link GatewayError} if the request is invalid.
+ */
 export type CallHandler = (data: StoreData, body: Body) => CallAnswer;
 
-/** One path of the gateway. */
+/** A path of the gateway with a single response. */
 export interface Route {
   readonly kind: CallKind;
   readonly handle: CallHandler;
 }
 
-/** The paths that answer once; `/v3/watch` streams. */
+/** Paths with a single response; `/v3/watch` streams instead. */
 export const ROUTES: ReadonlyMap<string, Route> = new Map([
   ['/v3/kv/range', {kind: 'range', handle: handleRange}],
   ['/v3/kv/put', {kind: 'put', handle: handlePut}],
@@ -143,8 +146,8 @@
   const id = String(body.ID);
   const ttl = data.leases.keepAlive(id);
   const header = createHeader(data.revisions.revision);
-  const lapsed = {header, ID: id};
-  const result = ttl === undefined ? lapsed : {...lapsed, TTL: String(ttl)};
+  const expired = {header, ID: id};
+  const result = ttl === undefined ? expired : {...expired, TTL: String(ttl)};
   return {body: {result}, wrote: false};
 }
 
--- a/standins/store/faults.ts
+++ b/standins/store/faults.ts
@@ -1,6 +1,6 @@
-/** The faults that a test can switch on, and the count of calls. */
+/** Faults that a test can inject, and counts of calls. */
 
-/** A kind of call, as `GET /standin/calls` names it. */
+/** Kind of a call; a key of the response to `GET /standin/calls`. */
 export type CallKind =
   | 'range'
   | 'put'
@@ -11,20 +11,22 @@
   | 'leaseRevoke'
   | 'watch';
 
-/** Faults in force. */
+/** The faults that are injected now. */
 export class Faults {
-  /** While true, every call's connection is reset. */
+  /** While true, the connection of every call is reset. */
   reset = false;
-  /** How long each answer is held back. */
+  /** Delay of each response. */
   slowMs = 0;
   #lostAnswers = 0;
 
-  /** Lets the next `count` writes take effect without an answer. */
+  /**
+   * Drops the responses of the next `count` writes, which still take effect.
+   */
   loseAnswers(count: number): void {
     this.#lostAnswers = count;
   }
 
-  /** Whether this write's answer is lost; counts it. */
+  /** Returns true if the response to this write is to be dropped. */
   consumeLostAnswer(): boolean {
     if (this.#lostAnswers === 0) return false;
     this.#lostAnswers -= 1;
@@ -32,7 +34,7 @@
   }
 }
 
-/** Counts calls by kind; a waiting watch is one. */
+/** Counts calls by kind; a watch is counted when it starts. */
 export class CallCounts {
   readonly #counts = new Map<CallKind, number>();
 
@@ -40,7 +42,7 @@
     this.#counts.set(kind, (this.#counts.get(kind) ?? 0) + 1);
   }
 
-  /** The counts so far, with their sum. */
+  /** Returns the counts so far and their sum as `total`. */
   snapshot(): Readonly<Record<string, number>> {
     const counts = [...this.#counts.values()];
     const total = counts.reduce((sum, count) => sum + count, 0);
--- a/standins/store/leases.ts
+++ b/standins/store/leases.ts
@@ -1,4 +1,4 @@
-/** Leases that lapse on the server's clock and take their keys with them. */
+/** Leases; their keys are deleted when they expire or are revoked. */
 import {randomInt} from 'node:crypto';
 import type {Revisions} from './revisions.js';
 
@@ -9,7 +9,7 @@
   timer: NodeJS.Timeout;
 }
 
-/** The leases that have not lapsed. */
+/** The leases that have not expired. */
 export class Leases {
   readonly #revisions: Revisions;
   readonly #leases = new Map<string, Lease>();
@@ -22,14 +22,17 @@
     return this.#leases.has(id);
   }
 
-  /** Grants a lease; resolves its id. */
+  /** Grants a lease and returns its id. */
   grant(ttlSeconds: number): string {
     const id = String(randomInt(1, MAX_LEASE_ID));
-    this.#leases.set(id, {ttlSeconds, timer: this.#startExpiryTimer(id, ttlSeconds)});
+    this.#leases.set(id, {
+      ttlSeconds,
+      timer: this.#startExpiryTimer(id, ttlSeconds),
+    });
     return id;
   }
 
-  /** Renews a lease; its time to live in seconds, or undefined if it lapsed. */
+  /** Renews a lease; returns its TTL in seconds, or undefined if it expired. */
   keepAlive(id: string): number | undefined {
     const lease = this.#leases.get(id);
     if (lease === undefined) return undefined;
@@ -38,7 +41,7 @@
     return lease.ttlSeconds;
   }
 
-  /** Ends a lease and deletes its keys; false if it has already lapsed. */
+  /** Ends a lease and deletes its keys; returns false if it has expired. */
   revoke(id: string): boolean {
     const lease = this.#leases.get(id);
     if (lease === undefined) return false;
@@ -48,7 +51,7 @@
     return true;
   }
 
-  /** Stops every timer. */
+  /** Cancels all expiry timers. */
   close(): void {
     for (const lease of this.#leases.values()) clearTimeout(lease.timer);
     this.#leases.clear();
--- a/standins/store/main.ts
+++ b/standins/store/main.ts
@@ -1,4 +1,4 @@
-/** Runs the stand-in store: `node dist/standins/store/main.js --port 2379`. */
+/** Runs the store stand-in: `node dist/standins/store/main.js --port 2379`. */
 import {readFileSync} from 'node:fs';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
@@ -8,7 +8,7 @@
 
 const DEFAULT_PORT = 2379;
 
-/** Reads JSON given directly, or from the file that the option names. */
+/** Parses an option that is a JSON array or the path of a file with one. */
 function readJsonOption<Value>(option: string | undefined): readonly Value[] {
   if (option === undefined) return [];
   const isJson = option.trimStart().startsWith('[');
@@ -17,10 +17,13 @@
 
 const args = await yargs(hideBin(process.argv))
   .option('port', {type: 'number', default: DEFAULT_PORT})
-  .option('vms', {type: 'string', describe: 'JSON array of VMs, or its file'})
+  .option('vms', {
+    type: 'string',
+    describe: 'JSON array of VMs, or the path of a file with one',
+  })
   .option('groups', {
     type: 'string',
-    describe: 'JSON array of database groups, or its file',
+    describe: 'JSON array of database groups, or the path of a file with one',
   })
   .strict()
   .parse();
