--- a/test/fakes/database-spec.ts
+++ b/test/fakes/database-spec.ts
@@ -1,7 +1,7 @@
-/** Descriptions of databases with ordinary values. */
+/** Database specs with default values. */
 import type {DatabaseSpec} from '../../src/groups/types.js';
 
-/** A database of two slots at the old provider. */
+/** Creates the spec of a database with two slots at the old provider. */
 export function createDatabaseSpec(
   id: string,
   changes: Partial<DatabaseSpec> = {},
--- a/test/fakes/failures.ts
+++ b/test/fakes/failures.ts
@@ -1,7 +1,7 @@
-/** Checks of calls that fail. */
+/** Assertions on calls that are expected to fail. */
 import {expect} from 'vitest';
 
-/** Expects a statement to fail with a SQLSTATE. */
+/** Asserts that a statement fails with this SQLSTATE. */
 export function expectSqlstate(
   call: Promise<unknown>,
   code: string,
@@ -9,7 +9,7 @@
   return expect(call).rejects.toMatchObject({code});
 }
 
-/** Expects a call to fail with an error of a kind. */
+/** Asserts that a call fails with an error of this kind. */
 export function expectFailure(
   call: Promise<unknown>,
   kind: string,
--- a/test/fakes/fake-control.ts
+++ b/test/fakes/fake-control.ts
@@ -1,4 +1,4 @@
-/** The control side of a fake database, as one node reaches it. */
+/** Control interface of a fake database, used by one node. */
 import type {
   ConfirmResult,
   DatabaseControl,
@@ -11,7 +11,7 @@
 import type {FakeGroup} from './fake-group.js';
 import type {NodeClock} from './virtual-clock.js';
 
-/** Sends calls over the node's link, with whatever fails there. */
+/** Sends calls over the node's link to the database, subject to its faults. */
 export class FakeControl implements DatabaseControl {
   readonly spec: DatabaseSpec;
   readonly #group: FakeGroup;
@@ -67,14 +67,15 @@
     run: () => T,
   ): Promise<T> {
     this.#group.onOrder(this.#nodeId, name, this.spec.id);
-    // A process that stands still sends its order when it runs again.
+    // A paused process sends its order only after it resumes.
     await new Promise<void>(resolve => this.#clock.whenRunning(resolve));
     const link = this.#group.links.between(this.#nodeId, this.spec.id);
     if (link.duplicateAfterMs > 0) {
-      const again = () => this.#call(timeoutMs, settle => settle(run()));
+      const sendDuplicate = () =>
+        this.#call(timeoutMs, settle => settle(run()));
       void this.#clock
         .sleep(link.duplicateAfterMs)
-        .then(again)
+        .then(sendDuplicate)
         .catch(() => {});
     }
     return this.#call(timeoutMs, settle => settle(run()));
--- a/test/fakes/fake-database.ts
+++ b/test/fakes/fake-database.ts
@@ -1,4 +1,4 @@
-/** One database of a fake group: its log, role, term and fence. */
+/** One database of a fake group, with its log, role, term and fence. */
 import type {
   ConfirmResult,
   DatabaseSpec,
@@ -13,9 +13,9 @@
 import {TargetError} from '../../src/targets/types.js';
 import type {VirtualClock} from './virtual-clock.js';
 
-/** An entry; replicas share the object with the primary that wrote it. */
+/** A log entry; replicas share the object with the primary that wrote it. */
 export interface Entry extends Position {
-  /** What was written; undefined for the first entry of a term. */
+  /** The written value; undefined for the first entry of a term. */
   readonly write: string | undefined;
 }
 
@@ -25,7 +25,7 @@
   readonly settle: (result: ConfirmResult) => void;
 }
 
-/** A database whose state outlives crashes. */
+/** A database whose state survives crashes. */
 export class FakeDatabase {
   readonly spec: DatabaseSpec;
   role: 'primary' | 'replica' = 'replica';
@@ -33,15 +33,17 @@
   fencedTerm = 0;
   fencedBy = '';
   log: Entry[] = [];
-  /** How long after it received an entry its reads see it. */
+  /** Replica lag: time from receiving an entry until reads include it. */
   applyLagMs = 0;
   up = true;
-  /** Each promotion that took effect. */
+  /** The promotions that took effect. */
   readonly promotions: {readonly term: number; readonly at: number}[] = [];
   readonly #clock: VirtualClock;
   readonly #confirms = new Set<PendingConfirm>();
+  /** Log length after each change, for the replica lag. */
   readonly #received: {readonly at: number; readonly length: number}[] = [];
-  #heardAt = 0;
+  #lastContactMs = 0;
+  /** Requests received while frozen; undefined while running. */
   #held: (() => void)[] | undefined;
 
   constructor(spec: DatabaseSpec, clock: VirtualClock) {
@@ -72,7 +74,7 @@
     this.#held ??= [];
   }
 
-  /** Runs what arrived while the database stood still. */
+  /** Ends the freeze and runs the requests that arrived meanwhile. */
   resume(): void {
     const held = this.#held ?? [];
     this.#held = undefined;
@@ -88,17 +90,17 @@
   restart(): void {
     if (this.up) return;
     this.up = true;
-    this.#heardAt = this.#clock.now();
+    this.#lastContactMs = this.#clock.now();
   }
 
-  /** Runs `work` now, or on resumption while the database is frozen. */
+  /** Runs `work` now, or after {@link resume} while the database is frozen. */
   whenRunning(work: () => void): void {
     if (this.#held === undefined) work();
     else this.#held.push(work);
   }
 
   status(): DatabaseStatus {
-    const silentMs = this.#clock.now() - this.#heardAt;
+    const silentMs = this.#clock.now() - this.#lastContactMs;
     return {
       role: this.role,
       term: this.term,
@@ -137,14 +139,14 @@
     if (this.role !== 'primary') {
       throw new TargetError(
         'refused',
-        `${this.spec.id} is no primary`,
+        `${this.spec.id} is not the primary`,
         '25006',
       );
     }
     return this.#append(write);
   }
 
-  /** Resolves through `settle`, at `timeoutMs` at the latest. */
+  /** Calls `settle` with the result, after `timeoutMs` at the latest. */
   confirm(
     term: number,
     position: Position,
@@ -163,7 +165,7 @@
     );
   }
 
-  /** Follows a primary's log; false if that primary is fenced off. */
+  /** Copies a primary's log; returns false if that primary is fenced off. */
   accept(term: number, log: readonly Entry[]): boolean {
     if (term < this.fencedTerm || term < this.term) return false;
     if (this.role === 'primary' && term === this.term) return false;
@@ -173,13 +175,13 @@
       this.fencedBy = 'upstream';
     }
     this.term = term;
-    this.#heardAt = this.#clock.now();
-    this.#copy(log);
+    this.#lastContactMs = this.#clock.now();
+    this.#replaceLog(log);
     this.#checkConfirms();
     return true;
   }
 
-  /** The writes that reads see. */
+  /** Returns the writes that reads include. */
   visibleWrites(): ReadonlySet<string> {
     const entries = this.log.slice(0, this.appliedLength);
     return new Set(entries.flatMap(({write}) => write ?? []));
@@ -189,40 +191,40 @@
     const offset = this.received.offset + 1;
     const entry = {term: this.term, offset, write};
     this.log.push(entry);
-    this.#noteReceived();
+    this.#recordReceived();
     return {term: this.term, offset};
   }
 
-  #copy(log: readonly Entry[]): void {
+  #replaceLog(log: readonly Entry[]): void {
     let common = Math.min(this.log.length, log.length);
     while (common > 0 && this.log[common - 1] !== log[common - 1]) common -= 1;
     if (common === this.log.length && common === log.length) return;
     this.log.length = common;
     while ((this.#received.at(-1)?.length ?? 0) > common) this.#received.pop();
     this.log.push(...log.slice(common));
-    this.#noteReceived();
+    this.#recordReceived();
   }
 
-  #noteReceived(): void {
+  #recordReceived(): void {
     const at = this.#clock.now();
     this.#received.push({at, length: this.log.length});
   }
 
   #stepDown(): void {
     this.role = 'replica';
-    this.#heardAt = this.#clock.now();
+    this.#lastContactMs = this.#clock.now();
   }
 
   #checkConfirms(): void {
     for (const pending of this.#confirms) {
-      const result = this.#answerTo(pending);
+      const result = this.#confirmResult(pending);
       if (result === undefined) continue;
       this.#confirms.delete(pending);
       pending.settle(result);
     }
   }
 
-  #answerTo({term, position}: PendingConfirm): ConfirmResult | undefined {
+  #confirmResult({term, position}: PendingConfirm): ConfirmResult | undefined {
     if (this.fencedTerm > term) {
       return {kind: 'fenced', fencedTerm: this.fencedTerm};
     }
--- a/test/fakes/fake-group.ts
+++ b/test/fakes/fake-group.ts
@@ -1,4 +1,4 @@
-/** A group of databases in memory, under virtual time, with faults. */
+/** An in-memory group of databases in virtual time, with fault injection. */
 import type {
   DatabaseControl,
   DatabaseSpec,
@@ -15,13 +15,13 @@
 const REPLICATION_PERIOD_MS = 20;
 const INITIAL_ORDERER = 'initial';
 
-/** What a read saw. */
+/** The result of a read. */
 export interface FakeRead {
   readonly position: Position;
   readonly writes: ReadonlySet<string>;
 }
 
-/** Called before an order reaches its database; may change the network. */
+/** Called before an order is sent to its database; may change the network. */
 export type OrderObserver = (
   nodeId: string,
   order: 'fence' | 'promote',
@@ -29,8 +29,8 @@
 ) => void;
 
 /**
- * Three databases (or more) with asynchronous replication; the first leads
- * term 1 at the start.
+ * Databases with asynchronous replication, three by default; the first starts
+ * as the primary of term 1.
  *
  * @example
  * const group = new FakeGroup(clock);
@@ -46,7 +46,7 @@
 
   constructor(clock: VirtualClock, size = 3) {
     this.#clock = clock;
-    const specs = Array.from({length: size}, (_, i) => specOf(i + 1));
+    const specs = Array.from({length: size}, (_, i) => createSpec(i + 1));
     this.spec = {name: 'claims', databases: specs};
     this.databases = specs.map(spec => new FakeDatabase(spec, clock));
     const first = this.database('db-1');
@@ -61,21 +61,21 @@
     return database;
   }
 
-  /** The primary of the highest term. */
+  /** The primary with the highest term. */
   get leader(): FakeDatabase | undefined {
     return this.databases
       .filter(({role}) => role === 'primary')
       .toSorted((a, b) => b.term - a.term)[0];
   }
 
-  /** The control side of all databases, as one node reaches them. */
+  /** Returns the control interfaces of all databases for one node. */
   controlsFor(nodeId: string, clock: NodeClock): readonly DatabaseControl[] {
     return this.databases.map(
       database => new FakeControl(this, database, nodeId, clock),
     );
   }
 
-  /** Commits a write at a database, over a node's link. */
+  /** Commits a write at a database over a node's link. */
   commit(
     nodeId: string,
     clock: NodeClock,
@@ -89,7 +89,7 @@
     );
   }
 
-  /** Reads all writes at a database, over a node's link. */
+  /** Reads all visible writes of a database over a node's link. */
   read(
     nodeId: string,
     clock: NodeClock,
@@ -102,7 +102,7 @@
     );
   }
 
-  /** Calls a database over a node's link, with whatever fails there. */
+  /** Calls a database over a node's link, subject to the link's faults. */
   call<T>(
     nodeId: string,
     clock: NodeClock,
@@ -112,21 +112,21 @@
   ): Promise<T> {
     const link = this.links.between(nodeId, database.spec.id);
     return new Promise<T>((resolve, reject) => {
-      let ended = false;
+      let isSettled = false;
       const fail = (err: unknown) => {
-        ended = true;
+        isSettled = true;
         clock.whenRunning(() => reject(err));
       };
       const answer = (value: T) => {
         if (link.answersToLose > 0) link.answersToLose -= 1;
         else if (!link.cut && database.up) {
           this.#after(link.delayMs, () => {
-            ended = true;
+            isSettled = true;
             clock.whenRunning(() => resolve(value));
           });
         }
       };
-      const arrive = () => {
+      const deliver = () => {
         if (link.cut) return;
         if (!database.up) {
           fail(new TargetError('notSent', `${database.spec.id} is down`));
@@ -140,8 +140,8 @@
           }
         });
       };
-      this.#after(link.delayMs, arrive);
-      if (ended) return;
+      this.#after(link.delayMs, deliver);
+      if (isSettled) return;
       this.#clock.schedule(timeoutMs, () =>
         fail(new TargetError('lost', `${database.spec.id} does not answer`)),
       );
@@ -156,12 +156,12 @@
   #replicate(): void {
     for (const source of this.databases) {
       if (source.role !== 'primary' || !source.up || source.frozen) continue;
-      for (const target of this.databases) this.#push(source, target);
+      for (const target of this.databases) this.#replicateTo(source, target);
     }
     this.#clock.schedule(REPLICATION_PERIOD_MS, () => this.#replicate());
   }
 
-  #push(source: FakeDatabase, target: FakeDatabase): void {
+  #replicateTo(source: FakeDatabase, target: FakeDatabase): void {
     const link = this.links.between(source.spec.id, target.spec.id);
     if (source === target || link.cut) return;
     const {term} = source;
@@ -173,7 +173,7 @@
   }
 }
 
-function specOf(number: number): DatabaseSpec {
+function createSpec(number: number): DatabaseSpec {
   return createDatabaseSpec(`db-${number}`, {
     port: 5_430 + number,
     dataCentre: `dc-${number}`,
--- a/test/fakes/fake-link.ts
+++ b/test/fakes/fake-link.ts
@@ -1,17 +1,17 @@
-/** What may go wrong between two ends of a fake network. */
+/** Links of a fake network, with fault injection. */
 
-/** One link; the same both ways. */
+/** Faults of a link, in both directions. */
 export interface FakeLink {
   cut: boolean;
-  /** Each way. */
+  /** One-way delay. */
   delayMs: number;
-  /** Requests whose effect happens but whose answer is lost. */
+  /** Number of next requests that take effect but whose answers are lost. */
   answersToLose: number;
-  /** Orders that arrive a second time, this much later; 0 for none. */
+  /** Delay after which orders are sent a second time; 0 to send them once. */
   duplicateAfterMs: number;
 }
 
-/** The links of a fake network, by the names of their ends. */
+/** The links of a fake network, by the ids of their ends. */
 export class FakeLinks {
   readonly #links = new Map<string, FakeLink>();
 
@@ -27,20 +27,20 @@
 
   /** Cuts the links between each of `ends` and each of `others`. */
   cut(ends: readonly string[], others: readonly string[]): void {
-    this.#each(ends, others, link => (link.cut = true));
+    this.#forEachLink(ends, others, link => (link.cut = true));
   }
 
-  /** Undoes {@link cut}. */
+  /** Restores the links that {@link cut} has cut. */
   mend(ends: readonly string[], others: readonly string[]): void {
-    this.#each(ends, others, link => (link.cut = false));
+    this.#forEachLink(ends, others, link => (link.cut = false));
   }
 
-  /** Takes all faults away. */
+  /** Removes all faults. */
   reset(): void {
     this.#links.clear();
   }
 
-  #each(
+  #forEachLink(
     ends: readonly string[],
     others: readonly string[],
     change: (link: FakeLink) => void,
--- a/test/fakes/memory-store.ts
+++ b/test/fakes/memory-store.ts
@@ -1,4 +1,4 @@
-/** A store in memory, with faults on demand, for tests under virtual time. */
+/** In-memory store with fault injection, for tests in virtual time. */
 import type {Clock} from '../../src/infra/clock.js';
 import {WatchCompactedError} from '../../src/infra/etcd-errors.js';
 import {
@@ -12,11 +12,11 @@
 
 const PROGRESS_INTERVAL_MS = 500;
 
-/** A change that wins the race against the next compare-and-swap of a key. */
+/** A concurrent write just before the next compare-and-swap of a key. */
 export type Interference = (current: string | undefined) => string;
 
 /**
- * A store in memory.
+ * An in-memory {@link Store}.
  *
  * @example
  * const store = new MemoryStore(clock);
@@ -26,9 +26,9 @@
 export class MemoryStore implements Store {
   /** While true, calls throw and watches end. */
   down = false;
-  /** How long each call takes. */
+  /** Latency of each call. */
   latencyMs = 0;
-  /** Calls so far, by method. */
+  /** Number of calls so far by method. */
   readonly calls = new Map<string, number>();
 
   readonly #clock: Clock;
@@ -41,33 +41,33 @@
   #nextLease = 1;
   #lostAnswers = 0;
   #lostRequests = 0;
-  #wakeWatches = new AbortController();
+  #nextChange = new AbortController();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** The store-wide revision. */
+  /** The current store-wide revision. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Lets the next `count` writes take effect and throw `unknown`. */
+  /** Makes the next `count` writes take effect but throw `unknown`. */
   loseAnswers(count: number): void {
     this.#lostAnswers += count;
   }
 
-  /** Lets the next `count` writes throw `unknown` without taking effect. */
+  /** Makes the next `count` writes throw `unknown` without taking effect. */
   loseRequests(count: number): void {
     this.#lostRequests += count;
   }
 
-  /** Lets another writer change `key` just before its next compare-and-swap. */
+  /** Simulates a concurrent write of `key` before its next compare-and-swap. */
   interfere(key: string, change: Interference): void {
     this.#interferences.push({key, change});
   }
 
-  /** Writes a key unconditionally, without faults; for set-up. */
+  /** Writes a key unconditionally, regardless of injected faults. */
   put(key: string, value: string): number {
     this.#revision += 1;
     const revision = this.#revision;
@@ -76,25 +76,25 @@
     return revision;
   }
 
-  /** Deletes a key, without faults. */
+  /** Deletes a key, regardless of injected faults. */
   delete(key: string): void {
     if (!this.#values.delete(key)) return;
     this.#revision += 1;
     this.#record({key, value: undefined, revision: this.#revision});
   }
 
-  /** Forgets the changes before the current revision. */
+  /** Marks the history before the current revision as compacted. */
   compact(): void {
     this.#compactedRevision = this.#revision;
   }
 
   async get(key: string): Promise<StoredValue | undefined> {
-    await this.#enter('get');
+    await this.#startCall('get');
     return this.#values.get(key);
   }
 
   async list(prefix: string): Promise<readonly StoredValue[]> {
-    await this.#enter('list');
+    await this.#startCall('list');
     return [...this.#values.values()]
       .filter(entry => entry.key.startsWith(prefix))
       .sort((a, b) => (a.key < b.key ? -1 : 1));
@@ -105,7 +105,7 @@
     expected: number,
     value: string,
   ): Promise<SwapResult> {
-    await this.#enter('compareAndSwap');
+    await this.#startCall('compareAndSwap');
     if (this.#lostRequests > 0) {
       this.#lostRequests -= 1;
       throw new StoreError('unknown', 'the request was lost');
@@ -116,7 +116,7 @@
     const result: SwapResult = matches
       ? {kind: 'swapped', revision: this.put(key, value)}
       : {kind: 'conflict', current};
-    this.#maybeLoseAnswer();
+    this.#throwIfAnswerLost();
     return result;
   }
 
@@ -125,13 +125,13 @@
     fromRevision: number,
     signal: AbortSignal,
   ): AsyncIterable<WatchItem> {
-    await this.#enter('watch');
+    await this.#startCall('watch');
     if (fromRevision > 0 && fromRevision < this.#compactedRevision) {
       throw new WatchCompactedError(this.#compactedRevision);
     }
     let next = fromRevision > 0 ? fromRevision : this.#revision + 1;
     while (!signal.aborted) {
-      this.#failWhenDown();
+      this.#throwIfDown();
       const events = this.#history.filter(
         event => event.revision >= next && event.key.startsWith(prefix),
       );
@@ -144,7 +144,7 @@
   }
 
   async grantLease(ttlMs: number): Promise<string> {
-    await this.#enter('grantLease');
+    await this.#startCall('grantLease');
     const id = String(this.#nextLease);
     this.#nextLease += 1;
     this.#leases.set(id, {ttlMs, endsAt: this.#clock.now() + ttlMs});
@@ -152,7 +152,7 @@
   }
 
   async keepAlive(leaseId: string): Promise<boolean> {
-    await this.#enter('keepAlive');
+    await this.#startCall('keepAlive');
     const lease = this.#leases.get(leaseId);
     if (lease === undefined || lease.endsAt <= this.#clock.now()) return false;
     lease.endsAt = this.#clock.now() + lease.ttlMs;
@@ -160,18 +160,18 @@
   }
 
   async revokeLease(leaseId: string): Promise<void> {
-    await this.#enter('revokeLease');
+    await this.#startCall('revokeLease');
     this.#leases.delete(leaseId);
   }
 
-  async #enter(method: string): Promise<void> {
+  async #startCall(method: string): Promise<void> {
     this.calls.set(method, (this.calls.get(method) ?? 0) + 1);
-    this.#failWhenDown();
+    this.#throwIfDown();
     if (this.latencyMs > 0) await this.#clock.sleep(this.latencyMs);
-    this.#failWhenDown();
+    this.#throwIfDown();
   }
 
-  #failWhenDown(): void {
+  #throwIfDown(): void {
     if (this.down) throw new StoreError('notSent', 'the store is down');
   }
 
@@ -183,7 +183,7 @@
     this.put(key, interference.change(this.#values.get(key)?.value));
   }
 
-  #maybeLoseAnswer(): void {
+  #throwIfAnswerLost(): void {
     if (this.#lostAnswers === 0) return;
     this.#lostAnswers -= 1;
     throw new StoreError('unknown', 'the answer was lost');
@@ -191,12 +191,12 @@
 
   #record(event: WatchEvent): void {
     this.#history.push(event);
-    this.#wakeWatches.abort();
-    this.#wakeWatches = new AbortController();
+    this.#nextChange.abort();
+    this.#nextChange = new AbortController();
   }
 
   async #waitForChange(signal: AbortSignal): Promise<void> {
-    const wake = AbortSignal.any([signal, this.#wakeWatches.signal]);
+    const wake = AbortSignal.any([signal, this.#nextChange.signal]);
     await this.#clock.sleep(PROGRESS_INTERVAL_MS, wake);
   }
 }
--- a/test/fakes/virtual-clock.ts
+++ b/test/fakes/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Time that moves only when a test says so. */
+/** Virtual time that only tests advance. */
 
 import type {Clock} from '../../src/infra/clock.js';
 
@@ -8,24 +8,24 @@
   readonly fire: () => void;
 }
 
-/** How a node's clock differs from true time. */
+/** Skew and drift of a node's clock against the virtual clock. */
 export interface NodeClockOptions {
   /** Added to the node's monotonic clock. */
   readonly offsetMs?: number;
   /** Added to the node's wall clock, besides `offsetMs`. */
   readonly wallOffsetMs?: number;
-  /** Node milliseconds per true millisecond. */
+  /** Milliseconds of the node per millisecond of the virtual clock. */
   readonly rate?: number;
 }
 
-/** Turns of the event loop given to promises after each timer. */
+/** Event loop turns after each timer, in which promises settle. */
 const SETTLE_TURNS = 2;
 
 /** Wall time at which every virtual clock starts. */
 export const VIRTUAL_EPOCH_MS = Date.UTC(2026, 0, 1);
 
 /**
- * A clock under the control of the test.
+ * A clock that the test advances.
  *
  * @example
  * const clock = new VirtualClock();
@@ -52,22 +52,22 @@
     return this.#nowMs + this.#wallOffsetMs;
   }
 
-  /** Moves the wall clock without moving the monotonic one. */
+  /** Shifts the wall clock by `ms`; the monotonic time does not change. */
   jumpWall(ms: number): void {
     this.#wallOffsetMs += ms;
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepBy(finish => this.schedule(ms, finish), signal);
+    return sleepUntilScheduled(finish => this.schedule(ms, finish), signal);
   }
 
-  /** Runs `fire` once `ms` have passed. */
+  /** Calls `fire` after `ms`. */
   schedule(ms: number, fire: () => void): void {
     const dueMs = this.#nowMs + Math.max(0, ms);
     this.#timers.push({dueMs, order: this.#order++, fire});
   }
 
-  /** Moves time on by `ms`, firing timers in order and settling promises. */
+  /** Advances time by `ms`; fires due timers in order and settles promises. */
   async advance(ms: number): Promise<void> {
     const endMs = this.#nowMs + ms;
     await this.settle();
@@ -81,7 +81,7 @@
     this.#nowMs = endMs;
   }
 
-  /** Moves time on in steps until `done()` holds; false if it never does. */
+  /** Advances time in steps until `done()` is true; false after `limitMs`. */
   async advanceUntil(
     done: () => boolean,
     limitMs: number,
@@ -92,7 +92,9 @@
     return done();
   }
 
-  /** Moves time on by `ms`; what the promise gave by then, if it did. */
+  /**
+   * Advances time by `ms`; returns the value if the promise resolved by then.
+   */
   async outcome<T>(promise: Promise<T>, ms: number): Promise<T | undefined> {
     let value: T | undefined;
     void promise.then(result => (value = result));
@@ -100,14 +102,14 @@
     return value;
   }
 
-  /** Lets pending promises and immediates run without moving time. */
+  /** Runs pending promises and immediates without advancing time. */
   async settle(): Promise<void> {
     for (let turn = 0; turn < this.#settleTurns; turn++) {
       await new Promise(resolve => setImmediate(resolve));
     }
   }
 
-  /** A node's own view of this time, which may be off and may be paused. */
+  /** Creates the clock of a node, which may have skew and may be paused. */
   forNode(options: NodeClockOptions = {}): NodeClock {
     return new NodeClock(this, options);
   }
@@ -146,22 +148,24 @@
     return VIRTUAL_EPOCH_MS + this.now() + this.#wallOffsetMs;
   }
 
-  /** Moves the wall clock of this node alone. */
+  /** Shifts the wall clock of this node only. */
   jumpWall(ms: number): void {
     this.#wallOffsetMs += ms;
   }
 
-  /** Whether the node is stopped. */
+  /** True while the node is paused. */
   get paused(): boolean {
     return this.#paused;
   }
 
-  /** Stops the node: its timers fire only after {@link resume}. */
+  /** Pauses the node: its timers fire only after {@link resume}. */
   pause(): void {
     this.#paused = true;
   }
 
-  /** Lets the node go on, with the timers that fell due meanwhile first. */
+  /**
+   * Resumes the node; first runs the work that fell due meanwhile, in order.
+   */
   resume(): void {
     this.#paused = false;
     const held = this.#held;
@@ -169,14 +173,14 @@
     for (const run of held) run();
   }
 
-  /** Runs `fire` now, or on resumption if the node is paused. */
+  /** Runs `fire` now, or after {@link resume} while the node is paused. */
   whenRunning(fire: () => void): void {
     if (this.#paused) this.#held.push(fire);
     else fire();
   }
 
   sleep(ms: number, signal?: AbortSignal): Promise<void> {
-    return sleepBy(
+    return sleepUntilScheduled(
       finish =>
         this.#time.schedule(ms / this.#rate, () => this.whenRunning(finish)),
       signal,
@@ -184,8 +188,8 @@
   }
 }
 
-/** Resolves once what was scheduled runs, or the signal aborts. */
-function sleepBy(
+/** Resolves when the scheduled callback runs or the signal aborts. */
+function sleepUntilScheduled(
   schedule: (finish: () => void) => void,
   signal?: AbortSignal,
 ): Promise<void> {
--- a/test/fakes/virtual-connection.ts
+++ b/test/fakes/virtual-connection.ts
@@ -1,4 +1,4 @@
-/** One connection of a virtual network. */
+/** A connection between two nodes of a virtual network. */
 
 import type {PeerMessage, RequestMessage} from '../../src/peers/messages.js';
 import {PendingCall} from '../../src/peers/pending-call.js';
@@ -8,10 +8,10 @@
 import type {VirtualNetwork} from './virtual-network.js';
 import type {VirtualNode} from './virtual-node.js';
 
-/** Silence after which a connection is closed. */
-const SILENT_CLOSE_MS = 3_000;
+/** Time without delivery after which a connection is closed. */
+const SILENCE_TIMEOUT_MS = 3_000;
 
-/** Carries messages from one node to another and back. */
+/** Sends calls from a client node to a server node and returns the answers. */
 export class VirtualConnection implements DedicatedConnection {
   readonly #network: VirtualNetwork;
   readonly #client: VirtualNode;
@@ -22,8 +22,8 @@
   #closed = false;
   #silent = false;
   #lastUsedMs: number;
-  #clientFreeMs = 0;
-  #serverFreeMs = 0;
+  #lastToClientMs = 0;
+  #lastToServerMs = 0;
 
   constructor(
     network: VirtualNetwork,
@@ -37,13 +37,13 @@
     server.incoming.add(this);
   }
 
-  /** Whether calls may be sent on this connection. */
+  /** True if the connection is open and in use, or used since `idleSinceMs`. */
   isUsable(idleSinceMs: number): boolean {
     if (this.#closed) return false;
     return this.#pending.size > 0 || this.#lastUsedMs > idleSinceMs;
   }
 
-  /** Whether no call waits for its answer. */
+  /** True if no call is waiting for its answer. */
   get isIdle(): boolean {
     return this.#pending.size === 0;
   }
@@ -62,13 +62,13 @@
     const copies = this.#network.next() < faults.duplication ? 2 : 1;
     for (let copy = 0; copy < copies; copy++) {
       if (this.#network.next() < faults.loss) continue;
-      this.#toServer({kind: 'req', id, method, body});
+      this.#sendToServer({kind: 'req', id, method, body});
     }
     const call = new PendingCall(id, options, this.#client.clock, message =>
-      this.#toServer(message),
+      this.#sendToServer(message),
     );
     this.#pending.set(id, call);
-    if (this.#silent || !this.#passes()) this.#closeWhenSilent();
+    if (this.#silent || !this.#isReachable()) this.#scheduleSilenceClose();
     try {
       return await call.answer;
     } finally {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Breaks the connection at both ends. */
+  /** Closes the connection at both ends; pending calls fail with `lost`. */
   close(): void {
     if (this.#closed) return;
     this.#closed = true;
@@ -86,29 +86,29 @@
     for (const call of this.#running.values()) call.abort(err.message);
   }
 
-  /** Carries nothing more, without a sign to either end. */
+  /** Drops all further messages, without closing the connection yet. */
   silence(): void {
     this.#silent = true;
-    this.#closeWhenSilent();
+    this.#scheduleSilenceClose();
   }
 
-  #passes(): boolean {
+  #isReachable(): boolean {
     return this.#network.reaches(this.#client.id, this.#server.id);
   }
 
-  #closeWhenSilent(): void {
-    this.#network.time.schedule(SILENT_CLOSE_MS, () => {
-      if (this.#silent || !this.#passes()) this.close();
+  #scheduleSilenceClose(): void {
+    this.#network.time.schedule(SILENCE_TIMEOUT_MS, () => {
+      if (this.#silent || !this.#isReachable()) this.close();
     });
   }
 
-  #toServer(message: PeerMessage): void {
+  #sendToServer(message: PeerMessage): void {
     const {value, bytes} = this.#network.transcode(message);
     const copy = value as PeerMessage;
     this.#client.countFrame(bytes, 0);
     const extraMs = message.kind === 'req' ? this.#network.drawReorderMs() : 0;
-    const dueMs = this.#dueMs(this.#serverFreeMs);
-    this.#serverFreeMs = dueMs;
+    const dueMs = this.#nextDueMs(this.#lastToServerMs);
+    this.#lastToServerMs = dueMs;
     this.#deliver(this.#server, dueMs + extraMs, () => {
       this.#server.countFrame(0, bytes);
       if (copy.kind === 'req') void this.#serve(copy);
@@ -120,20 +120,20 @@
     });
   }
 
-  #toClient(message: PeerMessage): number {
+  #sendToClient(message: PeerMessage): number {
     const {value, bytes} = this.#network.transcode(message);
     const copy = value as PeerMessage;
     this.#server.countFrame(bytes, 0);
-    const dueMs = this.#dueMs(this.#clientFreeMs);
-    this.#clientFreeMs = dueMs;
+    const dueMs = this.#nextDueMs(this.#lastToClientMs);
+    this.#lastToClientMs = dueMs;
     this.#deliver(this.#client, dueMs, () => {
       this.#client.countFrame(0, bytes);
-      this.#onAnswer(copy, bytes);
+      this.#onResponse(copy, bytes);
     });
     return bytes;
   }
 
-  #onAnswer(message: PeerMessage, bytes: number): void {
+  #onResponse(message: PeerMessage, bytes: number): void {
     if (message.kind === 'part') {
       this.#pending.get(message.id)?.onPart(message.body, bytes);
     }
@@ -146,27 +146,27 @@
     }
   }
 
-  /** A connection keeps its order: nothing arrives before what went ahead. */
-  #dueMs(freeMs: number): number {
+  /** Draws the delivery time of a message, not before the previous message. */
+  #nextDueMs(previousMs: number): number {
     const nowMs = this.#network.time.now();
-    return Math.max(freeMs, nowMs + this.#network.drawLatencyMs());
+    return Math.max(previousMs, nowMs + this.#network.drawLatencyMs());
   }
 
   #deliver(to: VirtualNode, dueMs: number, receive: () => void): void {
     const {time} = this.#network;
-    const arrive = () => {
-      if (this.#closed || this.#silent || !this.#passes()) return;
+    const deliver = () => {
+      if (this.#closed || this.#silent || !this.#isReachable()) return;
       to.clock.whenRunning(() => {
         if (!this.#closed) receive();
       });
     };
-    time.schedule(dueMs - time.now(), arrive);
+    time.schedule(dueMs - time.now(), deliver);
   }
 
   async #serve({id, method, body}: RequestMessage): Promise<void> {
     const loseAnswer = this.#network.next() < this.#network.faults.loss;
     const answer = (message: PeerMessage): number =>
-      loseAnswer ? 0 : this.#toClient(message);
+      loseAnswer ? 0 : this.#sendToClient(message);
     const call = new RunningCall(this.#client.id, part =>
       answer({kind: 'part', id, body: part}),
     );
--- a/test/fakes/virtual-network.ts
+++ b/test/fakes/virtual-network.ts
@@ -1,4 +1,4 @@
-/** Calls between nodes in memory, under virtual time, with chosen faults. */
+/** In-memory peer network in virtual time, with fault injection. */
 
 import {uniformInt} from 'pure-rand/distribution/uniformInt';
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
@@ -12,24 +12,26 @@
 } from './virtual-clock.js';
 import {VirtualNode} from './virtual-node.js';
 
-/** Chances are from 0 to 1 for each call. */
+/** Network faults; probabilities are from 0 to 1 and apply to each call. */
 export interface NetworkFaults {
   readonly latencyMs: number;
-  /** Added to the latency, evenly spread and in whole milliseconds. */
+  /** Uniformly distributed extra latency, in whole milliseconds. */
   readonly jitterMs: number;
-  /** Chance that a request, and again that an answer, is lost. */
+  /** Probability that a request is lost, and separately that an answer is. */
   readonly loss: number;
-  /** Chance that a request is served twice. */
+  /** Probability that a request is served twice. */
   readonly duplication: number;
-  /** Chance that a request is delayed behind later ones. */
+  /** Probability that a request is delayed, so that later ones overtake it. */
   readonly reorder: number;
 }
 
-/** What a node has put on the wire. */
+/** Traffic of a node. */
 export interface TrafficCount {
+  /** Number of frames sent. */
   frames: number;
   sentBytes: number;
   receivedBytes: number;
+  /** Number of connections opened. */
   connections: number;
 }
 
@@ -44,6 +46,7 @@
 /** Extra delay of a request that is served out of order. */
 const REORDER_DELAY_MS = 20;
 
+/** Number of distinct values of {@link VirtualNetwork.next}. */
 const RANDOM_STEPS = 2 ** 30;
 
 /**
@@ -61,7 +64,7 @@
   readonly #random;
   readonly #nodes = new Map<string, VirtualNode>();
   #faults = NO_FAULTS;
-  #islands = new Map<string, number>();
+  #partitions = new Map<string, number>();
   readonly #cutLinks = new Set<string>();
 
   constructor(
@@ -74,22 +77,22 @@
     this.setFaults(faults);
   }
 
-  /** The faults in force. */
+  /** The current faults. */
   get faults(): NetworkFaults {
     return this.#faults;
   }
 
-  /** The network's own generator, in [0, 1). */
+  /** Returns a seeded pseudo-random number in [0, 1). */
   next(): number {
     return uniformInt(this.#random, 0, RANDOM_STEPS - 1) / RANDOM_STEPS;
   }
 
-  /** Changes some faults. */
+  /** Changes the given faults and keeps the others. */
   setFaults(faults: Partial<NetworkFaults>): void {
     this.#faults = {...this.#faults, ...faults};
   }
 
-  /** Adds a node, or replaces one whose process has ended. */
+  /** Adds a node, or replaces the node with the same id. */
   addNode(
     id: string,
     options: {
@@ -103,48 +106,50 @@
     return node;
   }
 
-  /** The node that answers at an address, if any. */
+  /** Returns the node with the id of an address, if it exists. */
   find(address: PeerAddress): VirtualNode | undefined {
     return this.#nodes.get(address.id);
   }
 
-  /** Ends a node's process: its connections break, new ones are refused. */
+  /** Ends a node's process: closes its connections and refuses new ones. */
   endProcess(id: string): void {
     this.#nodes.get(id)?.end();
     this.#nodes.delete(id);
   }
 
-  /** Lets nodes reach only those of their own island; others stay together. */
-  partition(...islands: readonly (readonly string[])[]): void {
-    this.#islands = new Map(
-      islands.flatMap((ids, at) => ids.map(id => [id, at + 1] as const)),
+  /**
+   * Splits the network; the nodes that are not listed form one more partition.
+   */
+  partition(...partitions: readonly (readonly string[])[]): void {
+    this.#partitions = new Map(
+      partitions.flatMap((ids, at) => ids.map(id => [id, at + 1] as const)),
     );
   }
 
-  /** Drops everything between two nodes. */
+  /** Drops all messages between two nodes. */
   cutLink(a: string, b: string): void {
-    this.#cutLinks.add(linkName(a, b));
+    this.#cutLinks.add(linkKey(a, b));
   }
 
-  /** Ends every partition and cut. */
+  /** Removes all partitions and cut links. */
   heal(): void {
-    this.#islands.clear();
+    this.#partitions.clear();
     this.#cutLinks.clear();
   }
 
-  /** Makes the open connections of a pair carry nothing more. */
+  /** Drops all further messages on the open connections between two nodes. */
   silenceConnections(a: string, b: string): void {
     this.#nodes.get(a)?.silenceConnection(b);
     this.#nodes.get(b)?.silenceConnection(a);
   }
 
-  /** Whether packets pass between two nodes now. */
+  /** True if messages between two nodes are delivered now. */
   reaches(a: string, b: string): boolean {
-    if (this.#cutLinks.has(linkName(a, b))) return false;
-    return (this.#islands.get(a) ?? 0) === (this.#islands.get(b) ?? 0);
+    if (this.#cutLinks.has(linkKey(a, b))) return false;
+    return (this.#partitions.get(a) ?? 0) === (this.#partitions.get(b) ?? 0);
   }
 
-  /** Draws the delay of one message. */
+  /** Draws the latency of one message. */
   drawLatencyMs(): number {
     const {latencyMs, jitterMs} = this.#faults;
     return latencyMs + Math.floor(this.next() * (jitterMs + 1));
@@ -155,13 +160,17 @@
     return this.next() < this.#faults.reorder ? REORDER_DELAY_MS : 0;
   }
 
-  /** Copies a value as the wire would; returns it with its bytes. */
+  /**
+   * Encodes and decodes a value as the wire does; returns its copy and size.
+   */
   transcode(value: unknown): {value: unknown; bytes: number} {
     const [frame] = new FrameDecoder().push(encodeFrame(value));
     return {value: frame!.value, bytes: frame!.bytes};
   }
 
-  /** Traffic of every node since the last call of this method. */
+  /**
+   * Returns the traffic of each node since the last call; resets the counts.
+   */
   takeTraffic(): Map<string, TrafficCount> {
     const counts = [...this.#nodes.values()].map(
       node => [node.id, node.takeTraffic()] as const,
@@ -170,6 +179,6 @@
   }
 }
 
-function linkName(a: string, b: string): string {
+function linkKey(a: string, b: string): string {
   return a < b ? `${a} ${b}` : `${b} ${a}`;
 }
--- a/test/fakes/virtual-node.ts
+++ b/test/fakes/virtual-node.ts
@@ -1,4 +1,4 @@
-/** One node of a virtual network. */
+/** A node of a virtual network. */
 
 import {encodeFrame} from '../../src/peers/framing.js';
 import {PROTOCOL_VERSION} from '../../src/peers/messages.js';
@@ -17,16 +17,16 @@
 import {VirtualConnection} from './virtual-connection.js';
 import type {TrafficCount, VirtualNetwork} from './virtual-network.js';
 
-/** How long a node waits for a connection to an unreachable node. */
+/** Maximum time to wait for a connection to an unreachable node. */
 const CONNECT_TIMEOUT_MS = 1_000;
 
-/** How long an unused connection is kept. */
-const IDLE_CLOSE_MS = 5_000;
+/** Time after which an unused connection is closed. */
+const IDLE_TIMEOUT_MS = 5_000;
 
-/** Round trips of TCP's and the peers' handshakes. */
+/** Round trips of the TCP handshake and the peer handshake together. */
 const CONNECT_ROUND_TRIPS = 2;
 
-/** Bytes of a handshake with the peer secret, from and to the caller. */
+/** Bytes of the peer handshake that the client sends and receives. */
 const HELLO_BYTES = encodeFrame({
   kind: 'hello',
   version: PROTOCOL_VERSION,
@@ -34,12 +34,12 @@
   nonce: new Uint8Array(16),
   proof: new Uint8Array(32),
 }).length;
-const GREETING_BYTES =
+const HELLO_ANSWER_BYTES =
   encodeFrame({kind: 'challenge', nonce: new Uint8Array(16)}).length +
   encodeFrame({kind: 'welcome', from: 'vm-000', proof: new Uint8Array(32)})
     .length;
 
-/** A node's end of the network: calls others and serves calls. */
+/** Network endpoint of a node: sends calls to other nodes and serves theirs. */
 export class VirtualNode implements PeerConnector {
   readonly id: string;
   readonly address: PeerAddress;
@@ -47,9 +47,9 @@
   readonly handlers: Map<string, PeerHandler>;
   readonly #network: VirtualNetwork;
   readonly #connections = new Map<string, VirtualConnection>();
-  /** Connections of other nodes to this one. */
+  /** Connections that other nodes opened to this node. */
   readonly incoming = new Set<VirtualConnection>();
-  #traffic = newTraffic();
+  #traffic = createTrafficCount();
 
   constructor(
     network: VirtualNetwork,
@@ -83,7 +83,7 @@
     return this.#open(to, options);
   }
 
-  /** Breaks every connection. */
+  /** Closes all connections. */
   end(): void {
     const outgoing = this.#connections.values();
     for (const connection of [...outgoing, ...this.incoming]) {
@@ -91,22 +91,22 @@
     }
   }
 
-  /** Makes the open connection to a node carry nothing more. */
+  /** Drops all further messages on the open connection to a node. */
   silenceConnection(id: string): void {
     this.#connections.get(id)?.silence();
   }
 
-  /** Counts a message that this node sent or received. */
+  /** Adds the bytes of sent and received frames to the traffic counts. */
   countFrame(sentBytes: number, receivedBytes: number): void {
     if (sentBytes > 0) this.#traffic.frames++;
     this.#traffic.sentBytes += sentBytes;
     this.#traffic.receivedBytes += receivedBytes;
   }
 
-  /** Traffic since the last call of this method. */
+  /** Returns the traffic since the last call and resets the counts. */
   takeTraffic(): TrafficCount {
     const traffic = this.#traffic;
-    this.#traffic = newTraffic();
+    this.#traffic = createTrafficCount();
     return traffic;
   }
 
@@ -115,7 +115,7 @@
     options: ConnectOptions,
   ): Promise<VirtualConnection> {
     const existing = this.#connections.get(to.id);
-    if (existing?.isUsable(this.clock.now() - IDLE_CLOSE_MS)) return existing;
+    if (existing?.isUsable(this.clock.now() - IDLE_TIMEOUT_MS)) return existing;
     if (existing?.isIdle) existing.close();
     const connection = await this.#open(to, options);
     this.#connections.set(to.id, connection);
@@ -140,12 +140,12 @@
       throw new PeerError('notSent', `no connection to ${to.id}`);
     }
     this.#traffic.connections++;
-    this.countFrame(HELLO_BYTES, GREETING_BYTES);
-    peer.countFrame(GREETING_BYTES, HELLO_BYTES);
+    this.countFrame(HELLO_BYTES, HELLO_ANSWER_BYTES);
+    peer.countFrame(HELLO_ANSWER_BYTES, HELLO_BYTES);
     return new VirtualConnection(network, this, peer);
   }
 }
 
-function newTraffic(): TrafficCount {
+function createTrafficCount(): TrafficCount {
   return {frames: 0, sentBytes: 0, receivedBytes: 0, connections: 0};
 }
--- a/test/standins/database-freeze.test.ts
+++ b/test/standins/database-freeze.test.ts
@@ -3,7 +3,7 @@
 import {FreezeGate} from '../../standins/database/signal.js';
 import {StatementRunner} from '../../standins/database/statement-runner.js';
 
-it('finishes a statement only after the freeze that caught it', async () => {
+it('finishes a running statement only after the end of a freeze', async () => {
   const gate = new FreezeGate();
   const runner = new StatementRunner(1, 10, gate);
   let finished = false;
--- a/test/standins/database-group.test.ts
+++ b/test/standins/database-group.test.ts
@@ -20,7 +20,7 @@
   until,
 } from './fixture.js';
 
-/** For calls that are expected to time out. */
+/** Timeout of calls that are expected to time out. */
 const SHORT_MS = 500;
 
 let databases: readonly Database[] = [];
@@ -32,16 +32,16 @@
     lagMs: 0,
     ...options,
   });
-  closeLater(() => Promise.all(databases.map(one => one.close())));
+  closeLater(() => Promise.all(databases.map(database => database.close())));
   await until(() => databases.every(({member}) => member.term === 1));
-  return databases.map(controlOf) as [
+  return databases.map(createControl) as [
     PgDatabaseControl,
     PgDatabaseControl,
     PgDatabaseControl,
   ];
 }
 
-function controlOf({id, port}: Database): PgDatabaseControl {
+function createControl({id, port}: Database): PgDatabaseControl {
   const spec = createDatabaseSpec(id, {port});
   const control = new PgDatabaseControl(spec, CREDENTIALS);
   closeLater(() => control.close());
@@ -62,25 +62,26 @@
   return `INSERT INTO t (id, team, value) VALUES ('${id}', 'x', 1)`;
 }
 
-const ids = async (connection: PgTargetConnection) =>
+const readIds = async (connection: PgTargetConnection) =>
   (await queryRows(connection, 'SELECT id FROM t')).map(row => row['id']);
 
-/** Lets the replicas hold what the primary wrote. */
+/** Waits until the replicas hold the log up to `position`. */
 async function confirmAll(
   replicas: readonly PgDatabaseControl[],
   position: Position,
 ) {
-  for (const one of replicas) await one.confirm(1, position, TIMEOUT_MS);
+  for (const database of replicas)
+    await database.confirm(1, position, TIMEOUT_MS);
 }
 
-/** Makes the first of these replicas the primary of term 2. */
+/** Fences these replicas and promotes the first to primary of term 2. */
 async function failOver(replicas: readonly PgDatabaseControl[]) {
-  for (const one of replicas) await one.fence(2, 'vm1', TIMEOUT_MS);
+  for (const database of replicas) await database.fence(2, 'vm1', TIMEOUT_MS);
   expect(await replicas[0]!.promote(2, 'vm1', TIMEOUT_MS)).toBe(true);
 }
 
 describe('database group', () => {
-  it('replicates, and applies an entry after its lag', async () => {
+  it('replicates an entry and applies it after the replica lag', async () => {
     const [, replica] = await start({lagMs: 60_000});
     const writer = await connect(0);
     const reader = await connect(1);
@@ -90,10 +91,10 @@
       kind: 'confirmed',
       received: position,
     });
-    expect(await ids(reader)).toEqual([]);
+    expect(await readIds(reader)).toEqual([]);
     expect((await replica.status(TIMEOUT_MS)).applied.offset).toBe(0);
     await order(1, 'lag', {ms: 0});
-    expect(await ids(reader)).toEqual(['a']);
+    expect(await readIds(reader)).toEqual(['a']);
   });
 
   it('refuses writes on a replica', async () => {
@@ -105,7 +106,7 @@
     });
   });
 
-  it('grants a term to one orderer, and promotes only for it', async () => {
+  it('grants a term to one orderer and promotes only for that orderer', async () => {
     const [, replica] = await start();
     expect(await replica.promote(2, 'vm1', TIMEOUT_MS)).toBe(false);
     expect(await replica.promote(1, 'initial', TIMEOUT_MS)).toBe(false);
@@ -131,7 +132,7 @@
     });
   });
 
-  it('truncates the tail that an old primary wrote alone', async () => {
+  it('truncates the unreplicated tail of an old primary', async () => {
     const [, ...replicas] = await start();
     const old = await connect(0);
     await queryRows(old, insert('kept'));
@@ -142,18 +143,18 @@
     await queryRows(old, insert('lost too'));
     await failOver(replicas);
     await queryRows(await connect(1), insert('new'));
-    expect(await ids(old)).toEqual(['kept', 'lost', 'lost too']);
+    expect(await readIds(old)).toEqual(['kept', 'lost', 'lost too']);
     await order(0, 'partition', {from: []});
     await until(() => databases[0]!.member.term === 2);
     await until(() => databases[0]!.member.applied.offset === 4);
-    expect(await ids(old)).toEqual(['kept', 'new']);
+    expect(await readIds(old)).toEqual(['kept', 'new']);
     expect(databases[0]!.member.status()).toMatchObject({
       role: 'replica',
       received: {term: 2, offset: 4},
     });
   });
 
-  it('truncates a tail that follows more entries than one batch', async () => {
+  it('truncates a tail after more shared entries than fit one batch', async () => {
     const [, ...replicas] = await start();
     const old = await connect(0);
     const shared = MAX_BATCH_ENTRIES + 10;
@@ -165,15 +166,15 @@
     await failOver(replicas);
     await order(0, 'partition', {from: []});
     await until(() => databases[0]!.member.applied.term === 2);
-    expect(await ids(old)).not.toContain('lost');
+    expect(await readIds(old)).not.toContain('lost');
   });
 
-  it('applies all it received before it leads', async () => {
+  it('applies all received entries before it becomes primary', async () => {
     const [, replica] = await start({lagMs: 60_000});
     await queryRows(await connect(0), insert('a'));
     await confirmAll([replica], {term: 1, offset: 2});
     await failOver([replica]);
-    expect(await ids(await connect(1))).toEqual(['a']);
+    expect(await readIds(await connect(1))).toEqual(['a']);
   });
 
   it('fails transactions that are open when the primary is fenced', async () => {
@@ -192,7 +193,7 @@
     expect(databases[0]!.member.log.length).toBe(1);
   });
 
-  it('confirms only for the term it follows, until fenced above', async () => {
+  it('confirms only for the term it follows, until fenced at a higher term', async () => {
     const [, replica] = await start();
     const ahead = {term: 1, offset: 9};
     expect(await replica.confirm(1, ahead, SHORT_MS)).toEqual({
@@ -233,7 +234,7 @@
     expect(await run('SELECT * FROM t')).toEqual(['1/3', '1/3']);
   });
 
-  it('shows a partition as silence, and freezes when told', async () => {
+  it('reports upstream silence in a partition, freezes and goes silent on request', async () => {
     const [, replica] = await start();
     await order(1, 'partition', {from: ['db1']});
     await until(() => databases[1]!.member.status().upstreamSilentMs > 150);
--- a/test/standins/database-member.test.ts
+++ b/test/standins/database-member.test.ts
@@ -34,6 +34,7 @@
   {maxLength: 60},
 );
 
+/** Three members with writes, pulls and elections, and invariants to check. */
 class Group {
   readonly members = [0, 1, 2].map(() => new GroupMember(0, new FreezeGate()));
   readonly writes: Write[] = [];
@@ -77,10 +78,10 @@
     }
   }
 
-  /** Fences all but one at a new term and promotes the most advanced. */
+  /** Fences all members but one at a new term; promotes the longest log. */
   #elect(without: number): void {
     const voters = this.members.filter((_, at) => at !== without);
-    const term = 1 + Math.max(...this.members.map(one => one.fencedTerm));
+    const term = 1 + Math.max(...this.members.map(member => member.fencedTerm));
     for (const voter of voters) voter.fence(term, 'vm1');
     voters.sort((a, b) => comparePositions(b.log.last, a.log.last));
     expect(voters[0]!.promote(term, 'vm1')).toBe(true);
@@ -89,7 +90,7 @@
     for (const {id} of confirmed) expect(held).toContain(id);
   }
 
-  check(): void {
+  checkInvariants(): void {
     for (const {log, rows, applied} of this.members) {
       const replayed = new Tables();
       for (const entry of log.after(0, applied.offset)) {
@@ -102,13 +103,13 @@
   }
 }
 
-it('keeps confirmed writes over any fences and partitions', async () => {
+it('keeps confirmed writes through any sequence of fences and partitions', async () => {
   await fc.assert(
     fc.asyncProperty(steps, async run => {
       const group = new Group();
       for (const step of run) {
         await group.run(step);
-        group.check();
+        group.checkInvariants();
       }
       group.members.forEach(member => member.close());
     }),
--- a/test/standins/database.test.ts
+++ b/test/standins/database.test.ts
@@ -24,7 +24,7 @@
 }
 
 describe('database stand-in', () => {
-  it('answers simple queries, several in one', async () => {
+  it('answers simple queries with several statements', async () => {
     const client = await start();
     const results = (await client.query(
       "INSERT INTO claims (id, team, value) VALUES ('a', 'it''s; me', 3); SELECT * FROM claims; SELECT 1",
@@ -86,7 +86,7 @@
     expect((await client.query('SELECT 1')).rowCount).toBe(1);
   });
 
-  it('adds concurrent increments without losing one', async () => {
+  it('loses none of several concurrent increments', async () => {
     const client = await start({serviceMs: 1, slots: 4});
     await client.query("INSERT INTO t (id, team, value) VALUES ('a', 'x', 0)");
     const others = await Promise.all(Array.from({length: 8}, () => connect()));
@@ -125,7 +125,7 @@
     expect((await client.query('SELECT 1')).rowCount).toBe(1);
   });
 
-  it('streams a big answer', async () => {
+  it('streams a large result', async () => {
     const client = await start();
     const {rows} = await client.query(
       'SELECT generate_series(1,$1)',
@@ -135,7 +135,7 @@
     expect(rows.at(-1)).toEqual({generate_series: 200_000});
   });
 
-  it('refuses encryption and negotiates newer protocols down', async () => {
+  it('refuses encryption and negotiates a newer protocol version down', async () => {
     await start();
     const socket = net.connect(database.port, '127.0.0.1');
     const reader = socket[Symbol.asyncIterator]();
@@ -148,7 +148,7 @@
     socket.destroy();
   });
 
-  it('executes as many statements at once as it has slots', async () => {
+  it('runs as many statements concurrently as it has slots', async () => {
     await start({serviceMs: 2, slots: 2});
     const others = await Promise.all(Array.from({length: 6}, () => connect()));
     await Promise.all(others.map(other => other.query('SELECT 1')));
@@ -158,7 +158,7 @@
     });
   });
 
-  it('refuses connections above its limit, control ones apart', async () => {
+  it('refuses connections above the limit, with a separate limit for control', async () => {
     const client = await start({maxConnections: 1});
     await expectSqlstate(connect(), '53300');
     const control = await connect({database: 'platform'});
@@ -170,7 +170,7 @@
     );
   });
 
-  it('refuses and records foreign credentials', async () => {
+  it('refuses and records unknown credentials', async () => {
     await start();
     const stranger = connect({user: 'tasman', password: 'key-1'});
     await expectSqlstate(stranger, '28P01');
--- a/test/standins/fixture.ts
+++ b/test/standins/fixture.ts
@@ -1,4 +1,4 @@
-/** Stand-in databases and connections to them, closed after each test. */
+/** Creates stand-in databases and connections; closes them after each test. */
 import pg from 'pg';
 import {afterEach, vi} from 'vitest';
 import {getJson} from '../../demo/admin-client.js';
@@ -9,9 +9,9 @@
   type DatabaseOptions,
 } from '../../standins/database/index.js';
 
-/** What nodes log in with. */
+/** Credentials of the nodes. */
 export const CREDENTIALS = {user: 'zinnia', password: 'zinnia'};
-/** For calls that are expected to succeed. */
+/** Timeout of calls that are expected to succeed. */
 export const TIMEOUT_MS = 5_000;
 
 const closers: (() => unknown)[] = [];
@@ -20,12 +20,12 @@
   for (const close of closers.splice(0).reverse()) await close();
 });
 
-/** Runs `close` after the test, before what was opened earlier. */
+/** Registers `close` to run after the test, in reverse order. */
 export function closeLater(close: () => unknown): void {
   closers.push(close);
 }
 
-/** Starts a database that leads a group of its own. */
+/** Starts a database as the primary of a group without replicas. */
 export async function startDatabase(
   options: Partial<DatabaseOptions> = {},
 ): Promise<Database> {
@@ -39,7 +39,7 @@
   return database;
 }
 
-/** Connects the stock client. */
+/** Connects with the `pg` client. */
 export async function connectClient(
   {port}: Database,
   config: pg.ClientConfig = {},
@@ -57,7 +57,7 @@
   return client;
 }
 
-/** Connects as a node does. */
+/** Connects with the connection class of the nodes. */
 export async function connectTarget(
   port: number,
   options: {password?: string; maxFrameBytes?: number} = {},
@@ -74,14 +74,14 @@
   return connection;
 }
 
-/** Waits until a condition holds. */
+/** Waits until a condition is true. */
 export function until(
   condition: () => boolean | Promise<boolean>,
 ): Promise<unknown> {
   return vi.waitUntil(condition, {timeout: 10_000, interval: 1});
 }
 
-/** Statements that a database has begun. */
+/** Returns the number of statements that a database has started. */
 export async function countStatements({adminPort}: Database): Promise<number> {
   const url = `http://127.0.0.1:${adminPort}/counts`;
   return (await getJson<{statements: number}>(url)).statements;
