--- a/standins/database/session.ts
+++ b/standins/database/session.ts
@@ -3,7 +3,7 @@
 import {runControl} from './control.js';
 import type {GroupMember} from './member.js';
 import type {Result} from './result.js';
-import {readRows, resolveWrite, textOf} from './statements.js';
+import {readRows, resolveWrite, resolveText} from './statements.js';
 import {SqlError} from './sql-error.js';
 import type {Statement} from './sql.js';
 import type {StatementRunner} from './statement-runner.js';
@@ -115,7 +115,7 @@
       default: {
         const sleepMs =
           statement.kind === 'sleep'
-            ? 1000 * Number(textOf(statement.seconds, parameters))
+            ? 1000 * Number(resolveText(statement.seconds, parameters))
             : 0;
         return this.#runner.run(sleepMs, signal, () => {
           this.#checkTransaction(statement);
--- a/standins/lines/database.ts
+++ b/standins/lines/database.ts
@@ -136,9 +136,9 @@
   }
 
   /** Removes the commits that the promoted database does not have. */
-  truncateTo(leader: LineDatabase): void {
-    this.commits.splice(leader.commits.length);
-    this.term = leader.term;
+  truncateTo(primary: LineDatabase): void {
+    this.commits.splice(primary.commits.length);
+    this.term = primary.term;
   }
 
   /** Closes all connections and stops, as killing a process does. */
