--- a/bench/admission.ts
+++ b/bench/admission.ts
@@ -14,12 +14,12 @@
 const RUN_MS = 60_000;
 const FAULT_MS = 20_000;
 const OUTAGE_MS = 30_000;
-const LIMITS = {rate: 200, burst: 100};
+const RATE_LIMITS = {rate: 200, burst: 100};
 const LOAD_RATIO = 0.9;
 const SEED = 7;
 /** Listing lag, time until retirement and safety period, as in the service. */
-const REPLACE_AFTER_MS = 10_500;
-const HOP_MS = 1.1;
+const OWNER_REPLACEMENT_MS = 10_500;
+const HOP_LATENCY_MS = 1.1;
 const MODEL_RUN_MS = 60_000;
 
 type Scenario =
@@ -62,25 +62,25 @@
  * await run();
  */
 export async function run(): Promise<void> {
-  await compareBudgets();
-  compareLimits();
+  await compareBudgetApproaches();
+  compareConcurrencyLimits();
 }
 
-async function compareBudgets(): Promise<void> {
+async function compareBudgetApproaches(): Promise<void> {
   const approaches: readonly (readonly [string, Approach])[] = [
     ['escrow with owner', runEscrow],
-    ['one central owner', runCentral],
-    ['fixed 1/N shares', runFixed],
+    ['one central owner', runCentralOwner],
+    ['fixed 1/N shares', runFixedShares],
   ];
   printRow('scenario', 'approach', 'wrongful %', 'excess', 'msgs/admitted');
   printRow('---', '---', '---', '---', '---');
   for (const scenario of SCENARIOS) {
     const arrivals = createArrivals(scenario);
-    const ideal = countIdeal(arrivals);
+    const ideal = countIdealAdmissions(arrivals);
     for (const [name, approach] of approaches) {
       const {admittedMs, messages} = await approach(arrivals, scenario);
       const wrongful = (ideal - admittedMs.length) / arrivals.length;
-      const changes = [{atMs: 0, limits: LIMITS}];
+      const changes = [{atMs: 0, limits: RATE_LIMITS}];
       const times = [...admittedMs].sort((a, b) => a - b);
       printRow(
         scenario,
@@ -94,19 +94,19 @@
 }
 
 /** The node on which every approach puts its owner at first. */
-function ownerIndex(): number {
+function initialOwnerIndex(): number {
   return 0;
 }
 
 function deadNodeOf(scenario: Scenario): number | undefined {
-  if (scenario === 'owner node dead') return ownerIndex();
+  if (scenario === 'owner node dead') return initialOwnerIndex();
   return scenario === 'other node dead' ? 3 : undefined;
 }
 
 function createArrivals(scenario: Scenario): readonly Arrival[] {
   const random = createRandom(SEED);
   const ratio = scenario === 'ten times the rate' ? 10 : LOAD_RATIO;
-  const perMs = (LIMITS.rate * ratio) / 1_000;
+  const perMs = (RATE_LIMITS.rate * ratio) / 1_000;
   const dead = deadNodeOf(scenario);
   const arrivals: Arrival[] = [];
   let atMs = 0;
@@ -121,9 +121,9 @@
 }
 
 /** What one bucket that knows everything at once would admit. */
-function countIdeal(arrivals: readonly Arrival[]): number {
+function countIdealAdmissions(arrivals: readonly Arrival[]): number {
   const clock = new ManualClock();
-  const bucket = new TokenBucket(clock, LIMITS, LIMITS.burst);
+  const bucket = new TokenBucket(clock, RATE_LIMITS, RATE_LIMITS.burst);
   return arrivals.filter(({atMs}) => {
     clock.advance(atMs - clock.now());
     return bucket.trySpend(1);
@@ -134,12 +134,12 @@
   const cluster = new Cluster({
     nodes: NODES,
     seed: SEED,
-    limits: {[TEAM]: LIMITS},
+    limits: {[TEAM]: RATE_LIMITS},
   });
   for (const service of cluster.services.values())
     service.setStandbyTeams([TEAM]);
   const nodes = [...cluster.nodes];
-  const first = nodes[ownerIndex()]!;
+  const first = nodes[initialOwnerIndex()]!;
   cluster.preferOwner(first);
   for (const {atMs, node} of arrivals) {
     cluster.time.schedule(atMs, () => void cluster.admit(nodes[node]!, TEAM));
@@ -161,44 +161,45 @@
 };
 
 /** Every statement asks the owner; a dead one is replaced without tokens. */
-const runCentral: Approach = async (arrivals, scenario) => {
+const runCentralOwner: Approach = async (arrivals, scenario) => {
   const clock = new ManualClock();
-  let bucket = new TokenBucket(clock, LIMITS, LIMITS.burst);
-  let owner = ownerIndex();
+  let bucket = new TokenBucket(clock, RATE_LIMITS, RATE_LIMITS.burst);
+  let owner = initialOwnerIndex();
   let messages = 0;
   const admittedMs: number[] = [];
   for (const {atMs, node} of arrivals) {
-    const replacedMs = FAULT_MS + REPLACE_AFTER_MS;
+    const replacedMs = FAULT_MS + OWNER_REPLACEMENT_MS;
     const isOwnerDead = deadNodeOf(scenario) === owner && atMs >= FAULT_MS;
     if (isOwnerDead && atMs < replacedMs) continue;
     clock.advance(atMs - clock.now());
     if (isOwnerDead) {
       owner += 1;
-      bucket = new TokenBucket(clock, LIMITS, 0);
+      bucket = new TokenBucket(clock, RATE_LIMITS, 0);
     }
     const isLocal = node === owner;
     if (!isLocal) messages += 2;
-    if (bucket.trySpend(1)) admittedMs.push(isLocal ? atMs : atMs + 2 * HOP_MS);
+    if (bucket.trySpend(1))
+      admittedMs.push(isLocal ? atMs : atMs + 2 * HOP_LATENCY_MS);
   }
   return {admittedMs, messages};
 };
 
 /** Each node has an equal part; a dead one's is divided once that is safe. */
-const runFixed: Approach = async (arrivals, scenario) => {
+const runFixedShares: Approach = async (arrivals, scenario) => {
   const clock = new ManualClock();
   const sizeFor = (nodes: number) => ({
-    rate: LIMITS.rate / nodes,
-    burst: LIMITS.burst / nodes,
+    rate: RATE_LIMITS.rate / nodes,
+    burst: RATE_LIMITS.burst / nodes,
   });
   const buckets = Array.from(
     {length: NODES},
-    () => new TokenBucket(clock, sizeFor(NODES), LIMITS.burst / NODES),
+    () => new TokenBucket(clock, sizeFor(NODES), RATE_LIMITS.burst / NODES),
   );
   const admittedMs: number[] = [];
   let isDivided = deadNodeOf(scenario) === undefined;
   for (const {atMs, node} of arrivals) {
     clock.advance(atMs - clock.now());
-    if (!isDivided && atMs >= FAULT_MS + REPLACE_AFTER_MS) {
+    if (!isDivided && atMs >= FAULT_MS + OWNER_REPLACEMENT_MS) {
       isDivided = true;
       for (const bucket of buckets) bucket.resize(sizeFor(NODES - 1));
     }
@@ -207,7 +208,7 @@
   return {admittedMs, messages: 0};
 };
 
-function compareLimits(): void {
+function compareConcurrencyLimits(): void {
   const limits: readonly (readonly [string, () => LimitModel])[] = [
     ['slots', () => ({value: 2})],
     [
--- a/bench/benches.ts
+++ b/bench/benches.ts
@@ -27,7 +27,7 @@
   try {
     loaded = (await import(`./${name}.js`)) as Partial<Bench>;
   } catch (err) {
-    if (!isMissing(err, name)) throw err;
+    if (!isBenchFileMissing(err, name)) throw err;
     throw new Error(
       `bench/${name}.ts is not there yet; write it and build again`,
       {cause: err},
@@ -41,7 +41,7 @@
 }
 
 /** Whether the bench's own file is missing, rather than one that it needs. */
-function isMissing(err: unknown, name: string): boolean {
+function isBenchFileMissing(err: unknown, name: string): boolean {
   const {code, message = ''} = err as {code?: string; message?: string};
   return code === 'ERR_MODULE_NOT_FOUND' && message.includes(`/${name}.js'`);
 }
--- a/bench/failover.ts
+++ b/bench/failover.ts
@@ -2,12 +2,12 @@
  * `npm run bench -- failover [trials]`: kills, freezes and partitions the
  * primary under load, with the store up and down.
  */
-import {checkPromises} from '../demo/checks.js';
+import {checkGuarantees} from '../demo/guarantee-checks.js';
 import {Fleet, type FleetDatabase} from '../demo/fleet.js';
-import {longestGap} from '../demo/measures.js';
+import {longestGap} from '../demo/run-metrics.js';
 import {TASMAN} from '../demo/profiles.js';
-import {READS, WRITES} from '../demo/session-load.js';
-import {fixed, formatTable, pause, quantile} from './figures.js';
+import {READ_ONLY_LOAD, WRITE_ONLY_LOAD} from '../demo/session-load.js';
+import {formatNumber, formatTable, sleep, quantile} from './figures.js';
 import {RunningLoad} from './load.js';
 
 const DEFAULT_TRIALS = 20;
@@ -16,10 +16,10 @@
 const BEFORE_FAULT_MS = 300;
 const AFTER_FAULT_MS = 3_500;
 const FREEZE_MS = 3_000;
-const CATCH_UP_LIMIT_MS = 10_000;
+const CATCH_UP_TIMEOUT_MS = 10_000;
 /** The users' bound on one change of primary. */
-const TARGET_MS = 12_000;
-const AIM_MS = 2_000;
+const MAX_FAILOVER_MS = 12_000;
+const FAILOVER_GOAL_MS = 2_000;
 
 type Fault = 'kill' | 'freeze' | 'partition';
 const FAULTS: readonly Fault[] = ['kill', 'freeze', 'partition'];
@@ -35,11 +35,11 @@
 export async function run(args: readonly string[]): Promise<void> {
   const trials = Number(args[0] ?? DEFAULT_TRIALS);
   for (const ack of ['replica', 'primary'] as const) {
-    await runWith(ack, trials);
+    await runTrials(ack, trials);
   }
 }
 
-async function runWith(
+async function runTrials(
   ack: 'replica' | 'primary',
   trials: number,
 ): Promise<void> {
@@ -48,8 +48,8 @@
   try {
     const group = TASMAN.groups[0] ?? '';
     const sessions = [
-      {mix: WRITES, count: 8},
-      {mix: READS, count: 8},
+      {mix: WRITE_ONLY_LOAD, count: 8},
+      {mix: READ_ONLY_LOAD, count: 8},
     ];
     const load = new RunningLoad({
       fleet,
@@ -59,7 +59,7 @@
       paceMs: 10,
       seed: 1,
     });
-    await pause(WARM_UP_MS);
+    await sleep(WARM_UP_MS);
     const results: Trial[] = [];
     for (let i = 0; i < trials; i++) {
       for (const fault of FAULTS) {
@@ -69,9 +69,9 @@
       }
     }
     await load.stop();
-    await pause(1_000);
-    report(ack, results);
-    await reportLoss(fleet, load);
+    await sleep(1_000);
+    printGaps(ack, results);
+    await printGuarantees(fleet, load);
   } finally {
     await fleet.stop();
   }
@@ -84,16 +84,16 @@
   fault: Fault,
   storeUp: boolean,
 ): Promise<Trial> {
-  if (!storeUp) await fleet.storeSwitch('outage', {on: true});
-  await pause(BEFORE_FAULT_MS);
+  if (!storeUp) await fleet.controlStore('outage', {on: true});
+  await sleep(BEFORE_FAULT_MS);
   const primary = await fleet.findPrimary(group);
   if (primary === undefined) throw new Error(`group ${group} has no primary`);
   const from = performance.now();
-  await inject(fleet, primary, group, fault);
-  await pause(AFTER_FAULT_MS);
+  await injectFault(fleet, primary, group, fault);
+  await sleep(AFTER_FAULT_MS);
   const until = performance.now();
-  await repair(fleet, primary, fault);
-  if (!storeUp) await fleet.storeSwitch('outage', {on: false});
+  await repairFault(fleet, primary, fault);
+  if (!storeUp) await fleet.controlStore('outage', {on: false});
   await waitForReplicas(fleet, group);
   const during = load.record.completions.filter(
     ({at}) => at >= from && at <= until,
@@ -107,7 +107,7 @@
   return {fault, storeUp, writeGapMs: gapOf('write'), readGapMs: gapOf('read')};
 }
 
-async function inject(
+async function injectFault(
   fleet: Fleet,
   primary: FleetDatabase,
   group: string,
@@ -115,15 +115,15 @@
 ): Promise<void> {
   if (fault === 'kill') return primary.process.kill();
   if (fault === 'freeze') {
-    return fleet.databaseSwitch(primary, 'freeze', {ms: FREEZE_MS});
+    return fleet.controlDatabase(primary, 'freeze', {ms: FREEZE_MS});
   }
   const others = fleet.databases
     .filter(one => one.group === group && one !== primary)
     .map(({spec}) => spec.id);
-  return fleet.databaseSwitch(primary, 'partition', {from: others});
+  return fleet.controlDatabase(primary, 'partition', {from: others});
 }
 
-async function repair(
+async function repairFault(
   fleet: Fleet,
   database: FleetDatabase,
   fault: Fault,
@@ -133,11 +133,11 @@
     await database.process.waitFor('state=listening');
   }
   if (fault === 'partition') {
-    await fleet.databaseSwitch(database, 'partition', {from: []});
+    await fleet.controlDatabase(database, 'partition', {from: []});
   }
 }
 
-interface GroupsAnswer {
+interface GroupsResponse {
   readonly views: readonly {
     readonly name: string;
     readonly primaryId?: string;
@@ -153,11 +153,11 @@
 
 /** Waits until all three databases follow one primary again. */
 async function waitForReplicas(fleet: Fleet, group: string): Promise<void> {
-  const until = performance.now() + CATCH_UP_LIMIT_MS;
+  const until = performance.now() + CATCH_UP_TIMEOUT_MS;
   let seen: unknown;
   while (performance.now() < until) {
     for (const node of fleet.nodes) {
-      const answer = await fleet.readNode<GroupsAnswer>(node, 'groups');
+      const answer = await fleet.readNode<GroupsResponse>(node, 'groups');
       const view = answer.views.find(({name}) => name === group);
       if (view === undefined) continue;
       seen = view;
@@ -167,14 +167,14 @@
       const near = known.every(s => (s?.received.offset ?? 0) > last - 50);
       if (near && view.databases.every(({reachable}) => reachable)) return;
     }
-    await pause(50);
+    await sleep(50);
   }
   throw new Error(
     `group ${group} did not recover all its databases: ${JSON.stringify(seen)}`,
   );
 }
 
-function report(ack: string, results: readonly Trial[]): void {
+function printGaps(ack: string, results: readonly Trial[]): void {
   const rows: string[][] = [];
   for (const fault of FAULTS) {
     for (const storeUp of [true, false]) {
@@ -187,8 +187,8 @@
         fault,
         storeUp ? 'up' : 'down',
         String(of.length),
-        ...[0.5, 0.99, 1].map(share => fixed(quantile(writes, share))),
-        ...[0.5, 0.99, 1].map(share => fixed(quantile(reads, share))),
+        ...[0.5, 0.99, 1].map(share => formatNumber(quantile(writes, share))),
+        ...[0.5, 0.99, 1].map(share => formatNumber(quantile(reads, share))),
       ]);
     }
   }
@@ -204,21 +204,26 @@
     'max',
   ];
   console.log(
-    `\nfailover with ack=${ack} (bound ${TARGET_MS} ms, aim ${AIM_MS} ms)`,
+    `\nfailover with ack=${ack} (bound ${MAX_FAILOVER_MS} ms, aim ${FAILOVER_GOAL_MS} ms)`,
   );
   console.log(formatTable(header, rows));
   const worst = Math.max(...results.map(({writeGapMs}) => writeGapMs));
-  console.log(`longest write gap / bound: ${fixed(worst / TARGET_MS, 2)}`);
+  console.log(
+    `longest write gap / bound: ${formatNumber(worst / MAX_FAILOVER_MS, 2)}`,
+  );
 }
 
-async function reportLoss(fleet: Fleet, load: RunningLoad): Promise<void> {
+async function printGuarantees(fleet: Fleet, load: RunningLoad): Promise<void> {
   const {completions, failures, counters} = load.record;
   const writes = completions.filter(({kind}) => kind === 'write').length;
   const unknown = counters.reduce((sum, counter) => sum + counter.unknown, 0);
   console.log(
     `acknowledged writes: ${writes}; unknown: ${unknown}; refused or failed: ${failures.length - unknown}`,
   );
-  for (const {promise, violations} of await checkPromises(fleet, load.record)) {
+  for (const {guarantee: promise, violations} of await checkGuarantees(
+    fleet,
+    load.record,
+  )) {
     console.log(
       `${violations.length} violations: ${promise}${violations.length > 0 ? ` (${violations.slice(0, 2).join('; ')})` : ''}`,
     );
--- a/bench/figures.ts
+++ b/bench/figures.ts
@@ -22,16 +22,16 @@
 }
 
 /** A number with `digits` decimals. */
-export function fixed(value: number, digits = 0): string {
+export function formatNumber(value: number, digits = 0): string {
   return value.toFixed(digits);
 }
 
 /** A share from 0 to 1 as a percentage. */
-export function percent(share: number, digits = 1): string {
+export function formatPercent(share: number, digits = 1): string {
   return `${(share * 100).toFixed(digits)}%`;
 }
 
 /** Resolves after `ms`. */
-export function pause(ms: number): Promise<void> {
+export function sleep(ms: number): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, ms));
 }
--- a/bench/fleet.ts
+++ b/bench/fleet.ts
@@ -6,7 +6,13 @@
 import {Fleet, type FleetNode} from '../demo/fleet.js';
 import {LUMBRE, TASMAN, type Profile} from '../demo/profiles.js';
 import type {TeamRow} from '../src/rollout/table.js';
-import {fixed, formatTable, pause, percent, quantile} from './figures.js';
+import {
+  formatNumber,
+  formatTable,
+  sleep,
+  formatPercent,
+  quantile,
+} from './figures.js';
 import {
   runOpenLoad,
   type OpenLoadResult,
@@ -17,9 +23,9 @@
 const RATE = 50;
 const BURST = 25;
 /** Share of their rate that well-behaved teams send. */
-const CALM_SHARE = 0.8;
+const NORMAL_LOAD_SHARE = 0.8;
 const OVERLOAD_FACTOR = 10;
-const FAULT_AFTER_MS = 2_000;
+const FAULT_DELAY_MS = 2_000;
 const FREEZE_MS = 5_000;
 const WINDOW_STEP_MS = 200;
 const EDITS = 20;
@@ -44,10 +50,15 @@
     name: '10x, store out',
     overload: true,
     skewed: false,
-    fault: fleet => fleet.storeSwitch('outage', {on: true}),
+    fault: fleet => fleet.controlStore('outage', {on: true}),
+  },
+  {
+    name: '10x, a VM frozen 5 s',
+    overload: true,
+    skewed: false,
+    fault: freezeNode,
   },
-  {name: '10x, a VM frozen 5 s', overload: true, skewed: false, fault: freeze},
-  {name: '10x, a VM killed', overload: true, skewed: false, fault: kill},
+  {name: '10x, a VM killed', overload: true, skewed: false, fault: killNode},
 ];
 
 /** Runs the bench and prints its tables. */
@@ -70,8 +81,8 @@
     console.log(
       `\nprofile ${profile.name}: 7 nodes, 8 teams, rate ${RATE}/s, burst ${BURST}`,
     );
-    await reportIdle(fleet);
-    await reportPropagation(fleet);
+    await reportIdleUsage(fleet);
+    await reportEditPropagation(fleet);
     const rows: string[][] = [];
     for (const scenario of SCENARIOS) {
       rows.push(await runScenario(fleet, profile, scenario, seconds * 1_000));
@@ -100,7 +111,7 @@
   const noisy = profile.teams[0]?.name ?? '';
   const loads = profile.teams.map(({name}, index) => {
     const factor =
-      scenario.overload && name === noisy ? OVERLOAD_FACTOR : CALM_SHARE;
+      scenario.overload && name === noisy ? OVERLOAD_FACTOR : NORMAL_LOAD_SHARE;
     return runOpenLoad({
       fleet,
       team: name,
@@ -110,10 +121,10 @@
       durationMs,
     });
   });
-  const faulted = pause(FAULT_AFTER_MS).then(() => scenario.fault?.(fleet));
+  const faulted = sleep(FAULT_DELAY_MS).then(() => scenario.fault?.(fleet));
   const results = await Promise.all(loads);
   await faulted;
-  await fleet.storeSwitch('outage', {on: false});
+  await fleet.controlStore('outage', {on: false});
   return describeResults(scenario.name, results, noisy, scenario.overload);
 }
 
@@ -132,14 +143,14 @@
   const failed = inside.filter(
     ({outcome}) => outcome === 'refused' || outcome === 'unknown',
   );
-  const all = results.map(({sent}) => countWindows(sent));
+  const all = results.map(({sent}) => checkRateWindows(sent));
   const over = all.reduce((sum, one) => sum + one.over, 0);
   return [
     name,
-    fixed(Math.min(...served), 3),
-    `${limited.length} of ${inside.length} (${percent(limited.length / Math.max(1, inside.length), 2)})`,
+    formatNumber(Math.min(...served), 3),
+    `${limited.length} of ${inside.length} (${formatPercent(limited.length / Math.max(1, inside.length), 2)})`,
     String(failed.length),
-    fixed(Math.max(...all.map(({ratio}) => ratio)), 3),
+    formatNumber(Math.max(...all.map(({ratio}) => ratio)), 3),
     String(over),
   ];
 }
@@ -152,7 +163,7 @@
  * Statements sent at or after `s` and done at or before `e` were admitted in
  * between, so they may be at most rate x (e - s) + burst.
  */
-function countWindows(sent: readonly SentStatement[]): {
+function checkRateWindows(sent: readonly SentStatement[]): {
   readonly over: number;
   readonly ratio: number;
 } {
@@ -172,61 +183,61 @@
   return {over, ratio: done.length / allowed};
 }
 
-async function freeze(fleet: Fleet): Promise<void> {
-  const node = victim(fleet);
+async function freezeNode(fleet: Fleet): Promise<void> {
+  const node = nodeToFault(fleet);
   node.process.signal('SIGSTOP');
-  await pause(FREEZE_MS);
+  await sleep(FREEZE_MS);
   node.process.signal('SIGCONT');
 }
 
-async function kill(fleet: Fleet): Promise<void> {
-  await victim(fleet).process.kill();
+async function killNode(fleet: Fleet): Promise<void> {
+  await nodeToFault(fleet).process.kill();
 }
 
-function victim(fleet: Fleet): FleetNode {
+function nodeToFault(fleet: Fleet): FleetNode {
   const node = fleet.nodes[3];
   if (node === undefined) throw new Error('the fleet is too small');
   return node;
 }
 
-interface Usage {
+interface ResourceUsage {
   readonly cpuMicros: number;
   readonly rssBytes: number;
 }
 
-interface StoreCalls {
+interface StoreCallCounts {
   readonly [kind: string]: number;
 }
 
 /** CPU, memory and store calls of a fleet without callers. */
-async function reportIdle(fleet: Fleet): Promise<void> {
+async function reportIdleUsage(fleet: Fleet): Promise<void> {
   const usage = () =>
     Promise.all(
-      fleet.nodes.map(node => fleet.readNode<Usage>(node, 'metrics')),
+      fleet.nodes.map(node => fleet.readNode<ResourceUsage>(node, 'metrics')),
     );
   const calls = async () => {
     const res = await fetch(`${fleet.storeUrl}/standin/calls`);
-    return (await res.json()) as StoreCalls;
+    return (await res.json()) as StoreCallCounts;
   };
-  await pause(IDLE_SETTLE_MS);
+  await sleep(IDLE_SETTLE_MS);
   const [before, callsBefore] = await Promise.all([usage(), calls()]);
-  await pause(IDLE_MS);
+  await sleep(IDLE_MS);
   const [after, callsAfter] = await Promise.all([usage(), calls()]);
   const shares = after.map(
     ({cpuMicros}, i) =>
       (cpuMicros - (before[i]?.cpuMicros ?? 0)) / (IDLE_MS * 1_000),
   );
   const rss = after.map(({rssBytes}) => rssBytes / 2 ** 20);
-  const total = (all: StoreCalls) =>
+  const total = (all: StoreCallCounts) =>
     Object.values(all).reduce((sum, one) => sum + (Number(one) || 0), 0);
   const rate = (total(callsAfter) - total(callsBefore)) / (IDLE_MS / 1_000);
   console.log(
-    `idle: CPU of a node ${percent(quantile(shares, 0.5))} median, ${percent(Math.max(...shares))} busiest (budget 2.5%); resident ${fixed(quantile(rss, 0.5))} MiB median (budget 256); store calls ${fixed(rate, 1)}/s in all`,
+    `idle: CPU of a node ${formatPercent(quantile(shares, 0.5))} median, ${formatPercent(Math.max(...shares))} busiest (budget 2.5%); resident ${formatNumber(quantile(rss, 0.5))} MiB median (budget 256); store calls ${formatNumber(rate, 1)}/s in all`,
   );
 }
 
 /** How long an edit takes to be in force on all nodes. */
-async function reportPropagation(fleet: Fleet): Promise<void> {
+async function reportEditPropagation(fleet: Fleet): Promise<void> {
   const times: number[] = [];
   for (let i = 0; i < EDITS; i++) {
     const row = {
@@ -243,11 +254,11 @@
       throw new Error(`the edit was ${result.kind}`);
     const from = performance.now();
     const {version} = result;
-    while (!(await isInForce(fleet, version))) await pause(2);
+    while (!(await isInForce(fleet, version))) await sleep(2);
     times.push(performance.now() - from);
   }
   console.log(
-    `edit in force on 7 of 7: p50 ${fixed(quantile(times, 0.5))} ms, p99 ${fixed(quantile(times, 0.99))} ms of ${EDITS} (target 4,000 ms)`,
+    `edit in force on 7 of 7: p50 ${formatNumber(quantile(times, 0.5))} ms, p99 ${formatNumber(quantile(times, 0.99))} ms of ${EDITS} (target 4,000 ms)`,
   );
 }
 
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,11 +1,11 @@
 /** Loads of the benches on one group, made of the demo's sessions. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Fleet, FleetNode} from '../demo/fleet.js';
-import {LoadRecord} from '../demo/record.js';
+import {LoadRecord} from '../demo/load-record.js';
 import {SessionLoad, type LoadMix} from '../demo/session-load.js';
 
 /** Sessions of one kind. */
-export interface SessionsOf {
+export interface SessionGroup {
   readonly mix: LoadMix;
   readonly count: number;
 }
@@ -17,7 +17,7 @@
   readonly nodes?: readonly FleetNode[];
   readonly group: string;
   readonly team: string;
-  readonly sessions: readonly SessionsOf[];
+  readonly sessions: readonly SessionGroup[];
   readonly paceMs: number;
   readonly seed: number;
 }
@@ -26,7 +26,7 @@
 export class RunningLoad {
   readonly record = new LoadRecord();
   readonly #sessions: Promise<unknown>;
-  #over = false;
+  #isStopped = false;
 
   constructor(options: LoadOptions) {
     const {fleet, group, team, paceMs} = options;
@@ -44,7 +44,7 @@
           paceMs,
           mix,
           random,
-          isOver: () => this.#over,
+          isOver: () => this.#isStopped,
         }).run(),
       ),
     );
@@ -53,7 +53,7 @@
 
   /** Lets the running statements end. */
   async stop(): Promise<LoadRecord> {
-    this.#over = true;
+    this.#isStopped = true;
     await this.#sessions;
     return this.record;
   }
--- a/bench/open-load.ts
+++ b/bench/open-load.ts
@@ -1,11 +1,11 @@
 /** An open-loop load: each team sends at a fixed rate, served or not. */
 import pg from 'pg';
 import type {Fleet, FleetNode} from '../demo/fleet.js';
-import {pause} from './figures.js';
+import {sleep} from './figures.js';
 
-const CONNECTIONS_A_NODE = 3;
-const TICK_MS = 5;
-const RECONNECT_MS = 100;
+const CONNECTIONS_PER_NODE = 3;
+const SEND_INTERVAL_MS = 5;
+const RECONNECT_DELAY_MS = 100;
 
 /** How one statement ended, as its sender saw it. */
 export type SentOutcome = 'done' | 'rateLimited' | 'refused' | 'unknown';
@@ -42,7 +42,10 @@
   options: OpenLoadOptions,
 ): Promise<OpenLoadResult> {
   const senders = options.nodes.flatMap(node =>
-    Array.from({length: CONNECTIONS_A_NODE}, () => new Sender(options, node)),
+    Array.from(
+      {length: CONNECTIONS_PER_NODE},
+      () => new SenderConnection(options, node),
+    ),
   );
   await Promise.all(senders.map(sender => sender.connect()));
   const sent: SentStatement[] = [];
@@ -62,7 +65,7 @@
       running.add(task);
       void task.finally(() => running.delete(task));
     }
-    await pause(TICK_MS);
+    await sleep(SEND_INTERVAL_MS);
   }
   await Promise.all(running);
   await Promise.all(senders.map(sender => sender.close()));
@@ -71,9 +74,9 @@
 
 /** The next connection in turn that has nothing to do. */
 function nextIdle(
-  senders: readonly Sender[],
+  senders: readonly SenderConnection[],
   from: number,
-): Sender | undefined {
+): SenderConnection | undefined {
   for (let i = 0; i < senders.length; i++) {
     const sender = senders[(from + i) % senders.length];
     if (sender?.isIdle) return sender;
@@ -82,7 +85,7 @@
 }
 
 /** One connection with one statement at a time, as a pool would use it. */
-class Sender {
+class SenderConnection {
   readonly #options: OpenLoadOptions;
   #node: FleetNode;
   #busy = false;
@@ -104,7 +107,7 @@
       password: fleet.keys.get(team) ?? '',
       database: group,
     });
-    client.on('error', () => this.#lose(client));
+    client.on('error', () => this.#handleConnectionLoss(client));
     await client.connect();
     this.#client = client;
   }
@@ -117,13 +120,13 @@
   async send(): Promise<SentStatement> {
     this.#busy = true;
     try {
-      return await this.#send();
+      return await this.#runStatement();
     } finally {
       this.#busy = false;
     }
   }
 
-  async #send(): Promise<SentStatement> {
+  async #runStatement(): Promise<SentStatement> {
     const sentAt = performance.now();
     const end = (outcome: SentOutcome, code: string): SentStatement => ({
       sentAt,
@@ -139,7 +142,7 @@
       return end('done', '');
     } catch (err) {
       const {code = ''} = err as {code?: string};
-      if (code === '') this.#lose(client);
+      if (code === '') this.#handleConnectionLoss(client);
       if (code === '53400') return end('rateLimited', code);
       return end(/^(53|57P)/.test(code) ? 'refused' : 'unknown', code);
     }
@@ -152,13 +155,13 @@
   }
 
   /** Where the balancer would send a caller whose VM is gone. */
-  #otherNode(): FleetNode {
+  #nextNode(): FleetNode {
     const {nodes} = this.#options.fleet;
     const at = nodes.indexOf(this.#node);
     return nodes[(at + 1) % nodes.length] ?? this.#node;
   }
 
-  #lose(client: pg.Client): void {
+  #handleConnectionLoss(client: pg.Client): void {
     if (this.#client !== client) return;
     this.#client = undefined;
     this.#reconnecting ??= this.#reconnect();
@@ -166,8 +169,8 @@
 
   async #reconnect(): Promise<void> {
     while (!this.#closed && this.#client === undefined) {
-      await pause(RECONNECT_MS);
-      this.#node = this.#otherNode();
+      await sleep(RECONNECT_DELAY_MS);
+      this.#node = this.#nextNode();
       await this.connect().catch(() => {});
     }
     this.#reconnecting = undefined;
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -14,7 +14,7 @@
 const TARGET_STATEMENTS_PER_SECOND = 5_000;
 const TARGET_ADDED_P50_MS = 1;
 const WARM_UP_STATEMENTS = 500;
-const CONNECT_BATCH = 50;
+const CONNECT_BATCH_SIZE = 50;
 const MAX_LATENCY_US = 60_000_000;
 const READ = 'SELECT id, team, value FROM counters WHERE id = $1';
 const INSERT = 'INSERT INTO counters (id, team, value) VALUES ($1, $2, $3)';
@@ -49,23 +49,23 @@
     teams: [{name: TEAM, rate: UNLIMITED_RATE, burst: UNLIMITED_RATE}],
   });
   try {
-    await insertRow(connectNode(fleet));
+    await insertRow(createNodeConnect(fleet));
     await measureAll(fleet, options);
   } finally {
     await fleet.stop();
   }
 }
 
-interface Options {
+interface BenchOptions {
   readonly seconds: number;
   readonly sessions: number;
   readonly statements: number;
   readonly callers: number;
 }
 
-async function measureAll(fleet: Fleet, options: Options): Promise<void> {
-  const node = connectNode(fleet);
-  const direct = connectReplica(fleet);
+async function measureAll(fleet: Fleet, options: BenchOptions): Promise<void> {
+  const node = createNodeConnect(fleet);
+  const direct = createReplicaConnect(fleet);
   // Before the load, whose garbage would hide what the callers take.
   const idleMib = await measureIdleMemory(fleet, node, options.callers);
   const directLatency = await measureLatency(direct, options.statements);
@@ -110,7 +110,7 @@
   );
 }
 
-function connectNode(fleet: Fleet): Connect {
+function createNodeConnect(fleet: Fleet): Connect {
   const [node] = fleet.nodes;
   return () =>
     connect(node?.port, {
@@ -120,7 +120,7 @@
     });
 }
 
-function connectReplica(fleet: Fleet): Connect {
+function createReplicaConnect(fleet: Fleet): Connect {
   const replica = fleet.databases[1];
   const valueOf = (flag: string) =>
     replica?.args
@@ -181,7 +181,7 @@
 /** Statements a second of sessions that each wait for their answer. */
 async function measureRate(
   open: Connect,
-  {sessions, seconds}: Options,
+  {sessions, seconds}: BenchOptions,
 ): Promise<number> {
   const clients = await Promise.all(Array.from({length: sessions}, open));
   let done = 0;
@@ -207,18 +207,18 @@
   callers: number,
 ): Promise<number> {
   const pid = fleet.nodes[0]?.process.pid ?? -1;
-  const before = await residentMib(pid);
+  const before = await readResidentMib(pid);
   const clients: pg.Client[] = [];
   while (clients.length < callers) {
-    const count = Math.min(CONNECT_BATCH, callers - clients.length);
+    const count = Math.min(CONNECT_BATCH_SIZE, callers - clients.length);
     clients.push(...(await Promise.all(Array.from({length: count}, open))));
   }
-  const after = await residentMib(pid);
+  const after = await readResidentMib(pid);
   await Promise.all(clients.map(client => client.end()));
   return ((after - before) / callers) * 1_000;
 }
 
-interface StatementsAnswer {
+interface StatementsResponse {
   readonly slices: readonly {
     readonly kind: StatementKind;
     readonly done: number;
@@ -230,7 +230,7 @@
 async function readReplicaPercent(fleet: Fleet): Promise<number> {
   const [node] = fleet.nodes;
   if (node === undefined) return 0;
-  const answer = await fleet.readNode<StatementsAnswer>(node, 'statements');
+  const answer = await fleet.readNode<StatementsResponse>(node, 'statements');
   const reads = answer.slices.filter(({kind}) => kind === 'read');
   const done = reads.reduce((sum, slice) => sum + slice.done, 0);
   const served = reads.reduce((sum, slice) => sum + slice.atReplicas, 0);
@@ -238,7 +238,7 @@
 }
 
 /** The kernel's figure for a process of this bench. */
-async function residentMib(pid: number): Promise<number> {
+async function readResidentMib(pid: number): Promise<number> {
   const status = await readFile(`/proc/${pid}/status`, 'utf8');
   const match = /^VmRSS:\s+(\d+) kB$/m.exec(status);
   if (match === null) throw new Error(`process ${pid} shows no VmRSS`);
--- a/bench/replicas.ts
+++ b/bench/replicas.ts
@@ -1,16 +1,22 @@
 /** `npm run bench -- replicas`: where reads go at several lags and waits. */
-import {checkPromises} from '../demo/checks.js';
+import {checkGuarantees} from '../demo/guarantee-checks.js';
 import {Fleet} from '../demo/fleet.js';
-import {measure} from '../demo/measures.js';
+import {computeRunMetrics} from '../demo/run-metrics.js';
 import {TASMAN, type Profile} from '../demo/profiles.js';
-import type {LoadRecord} from '../demo/record.js';
-import {MIXED, type LoadMix} from '../demo/session-load.js';
-import {fixed, formatTable, pause, percent, quantile} from './figures.js';
+import type {LoadRecord} from '../demo/load-record.js';
+import {MIXED_LOAD, type LoadMix} from '../demo/session-load.js';
+import {
+  formatNumber,
+  formatTable,
+  sleep,
+  formatPercent,
+  quantile,
+} from './figures.js';
 import {RunningLoad} from './load.js';
 
 const LAGS_MS: readonly number[] = [10, 200, 2_000];
 /** One write in four, and one in fifty. */
-const MIXES: readonly LoadMix[] = [MIXED, {writes: 0.02, transactions: 0}];
+const MIXES: readonly LoadMix[] = [MIXED_LOAD, {writes: 0.02, transactions: 0}];
 /** How long a read may wait for a replica, given the lag. */
 const WAITS: readonly ((lagMs: number) => number)[] = [
   () => 0,
@@ -30,7 +36,7 @@
   for (const mix of MIXES) {
     for (const lagMs of LAGS_MS) {
       for (const waitOf of WAITS) {
-        rows.push(await runAt(lagMs, mix, waitOf(lagMs)));
+        rows.push(await measureReplicaReads(lagMs, mix, waitOf(lagMs)));
       }
     }
   }
@@ -50,7 +56,7 @@
   console.log(formatTable(header, rows));
 }
 
-async function runAt(
+async function measureReplicaReads(
   lagMs: number,
   mix: LoadMix,
   waitMs: number,
@@ -73,25 +79,32 @@
       paceMs: 20,
       seed: 1,
     });
-    await pause(RUN_MS);
+    await sleep(RUN_MS);
     const record = await load.stop();
-    const measures = await measure(fleet, record, PROFILE.teams, group);
-    const checks = await checkPromises(fleet, record);
-    const stale = checks.find(({promise}) => promise.includes('own writes'));
+    const measures = await computeRunMetrics(
+      fleet,
+      record,
+      PROFILE.teams,
+      group,
+    );
+    const checks = await checkGuarantees(fleet, record);
+    const stale = checks.find(({guarantee: promise}) =>
+      promise.includes('own writes'),
+    );
     const reads = record.completions
       .filter(({kind}) => kind === 'read')
       .map(({elapsedMs}) => elapsedMs);
     return [
-      percent(mix.writes + mix.transactions, 0),
+      formatPercent(mix.writes + mix.transactions, 0),
       String(lagMs),
       String(waitMs),
-      percent(measures.replicaShare),
+      formatPercent(measures.replicaShare),
       String(stale?.violations.length ?? 0),
-      refusalsOf(record),
-      fixed(reads.length / (RUN_MS / 1_000)),
-      fixed(quantile(reads, 0.5), 1),
-      fixed(quantile(reads, 0.99), 1),
-      percent(await primaryShare(fleet, group)),
+      formatFailureCounts(record),
+      formatNumber(reads.length / (RUN_MS / 1_000)),
+      formatNumber(quantile(reads, 0.5), 1),
+      formatNumber(quantile(reads, 0.99), 1),
+      formatPercent(await readPrimaryShare(fleet, group)),
     ];
   } finally {
     await fleet.stop();
@@ -99,7 +112,7 @@
 }
 
 /** How many statements failed, by SQLSTATE. */
-function refusalsOf({failures}: LoadRecord): string {
+function formatFailureCounts({failures}: LoadRecord): string {
   const codes = [...new Set(failures.map(({sqlstate}) => sqlstate))];
   const counts = codes.map(
     code => `${failures.filter(f => f.sqlstate === code).length} ${code}`,
@@ -108,7 +121,7 @@
 }
 
 /** The share of the group's statements that its primary ran. */
-async function primaryShare(fleet: Fleet, group: string): Promise<number> {
+async function readPrimaryShare(fleet: Fleet, group: string): Promise<number> {
   const primary = await fleet.findPrimary(group);
   let atPrimary = 0;
   let all = 0;
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -6,14 +6,14 @@
 import {decodeDocument, encodeDocument} from '../src/rollout/config-codec.js';
 import {createTable} from '../src/rollout/table.js';
 import {Fleet} from '../test/membership/fleet.js';
-import {fixed, formatTable} from './figures.js';
+import {formatNumber, formatTable} from './figures.js';
 
-const SIZES: readonly number[] = [7, 50, 200, 1_000];
+const FLEET_SIZES: readonly number[] = [7, 50, 200, 1_000];
 const SETTLE_MS = 8_000;
-const MEASURED_MS = 5_000;
-const CONFIG = 'zinnia/config';
-const CONFIG_CHARACTERS = 20_000;
-const IN_FORCE_LIMIT_MS = 20_000;
+const MEASUREMENT_MS = 5_000;
+const CONFIG_KEY = 'zinnia/config';
+const CONFIG_LENGTH = 20_000;
+const EDIT_TIMEOUT_MS = 20_000;
 const MEBIBYTE = 2 ** 20;
 const TEAMS = 2_000;
 const GROUPS = 1_300;
@@ -22,7 +22,7 @@
 /** Runs the bench and prints its tables. */
 export async function run(): Promise<void> {
   const rows: string[][] = [];
-  for (const size of SIZES) rows.push(await measureFleet(size));
+  for (const size of FLEET_SIZES) rows.push(await measureFleet(size));
   const header = [
     'nodes',
     'B/s mean',
@@ -33,7 +33,7 @@
   ];
   console.log('\ncontrol of one node: membership, dissemination, standing');
   console.log(formatTable(header, rows));
-  measureDocument();
+  measureConfigDocument();
 }
 
 async function measureFleet(size: number): Promise<string[]> {
@@ -43,40 +43,43 @@
   await fleet.clock.advance(SETTLE_MS);
   fleet.net.takeTraffic();
   const cpuBefore = process.cpuUsage();
-  await fleet.clock.advance(MEASURED_MS);
+  await fleet.clock.advance(MEASUREMENT_MS);
   const {user, system} = process.cpuUsage(cpuBefore);
   const heap = process.memoryUsage().heapUsed - heapBefore;
   const bytes = [...fleet.net.takeTraffic().values()].map(
     ({sentBytes, receivedBytes}) =>
-      ((sentBytes + receivedBytes) * 1_000) / MEASURED_MS,
+      ((sentBytes + receivedBytes) * 1_000) / MEASUREMENT_MS,
   );
-  const heldMs = await measureEdit(fleet, size);
+  const heldMs = await measureEditPropagation(fleet, size);
   await fleet.stop();
   const mean = bytes.reduce((sum, one) => sum + one, 0) / size;
-  const cpuMs = (user + system) / 1_000 / size / (MEASURED_MS / 1_000);
+  const cpuMs = (user + system) / 1_000 / size / (MEASUREMENT_MS / 1_000);
   return [
     String(size),
-    fixed(mean),
-    fixed(Math.max(...bytes)),
-    fixed(cpuMs, 2),
-    fixed(heap / 1_024 / size),
-    fixed(heldMs),
+    formatNumber(mean),
+    formatNumber(Math.max(...bytes)),
+    formatNumber(cpuMs, 2),
+    formatNumber(heap / 1_024 / size),
+    formatNumber(heldMs),
   ];
 }
 
-async function measureEdit(fleet: Fleet, size: number): Promise<number> {
+async function measureEditPropagation(
+  fleet: Fleet,
+  size: number,
+): Promise<number> {
   let held = 0;
   const startMs = fleet.clock.now();
   for (const {documents} of fleet.nodes.values()) {
     documents.onChange(() => held++);
   }
-  fleet.store.put(CONFIG, 'x'.repeat(CONFIG_CHARACTERS));
-  await fleet.clock.advanceUntil(() => held === size, IN_FORCE_LIMIT_MS);
+  fleet.store.put(CONFIG_KEY, 'x'.repeat(CONFIG_LENGTH));
+  await fleet.clock.advanceUntil(() => held === size, EDIT_TIMEOUT_MS);
   return fleet.clock.now() - startMs;
 }
 
 /** Size and decoding time of a configuration of the size to design for. */
-function measureDocument(): void {
+function measureConfigDocument(): void {
   const teams = Array.from({length: TEAMS}, (_, i) => ({
     cells: {kind: 'team', name: `team-${i}`, rate: 100, burst: 50},
   }));
@@ -99,6 +102,6 @@
   for (let i = 0; i < CODEC_RUNS; i++) decodeDocument(text);
   const decodeMs = (performance.now() - startedAt) / CODEC_RUNS;
   console.log(
-    `\nconfiguration of ${GROUPS} groups and ${TEAMS} teams: ${fixed(text.length / 1_024)} KiB (limit 1 MB), decoded in ${fixed(decodeMs, 1)} ms; resident memory here ${fixed(process.memoryUsage().rss / MEBIBYTE)} MiB`,
+    `\nconfiguration of ${GROUPS} groups and ${TEAMS} teams: ${formatNumber(text.length / 1_024)} KiB (limit 1 MB), decoded in ${formatNumber(decodeMs, 1)} ms; resident memory here ${formatNumber(process.memoryUsage().rss / MEBIBYTE)} MiB`,
   );
 }
--- a/demo/admin-client.ts
+++ b/demo/admin-client.ts
@@ -1,6 +1,6 @@
-/** Calls the HTTP ports of nodes and stand-ins. */
+/** HTTP client for the admin ports of nodes and stand-ins. */
 
-/** Sends JSON; rejects unless it was accepted. */
+/** Posts a JSON body; throws unless the response status is 2xx. */
 export async function postJson(url: string, body: unknown): Promise<void> {
   const res = await fetch(url, {
     method: 'POST',
@@ -10,7 +10,7 @@
   if (!res.ok) throw new Error(`${url} answered ${res.status}`);
 }
 
-/** Reads JSON. */
+/** Fetches a URL and parses the response body as JSON, whatever its status. */
 export async function getJson<Value>(url: string): Promise<Value> {
   const res = await fetch(url);
   return (await res.json()) as Value;
--- a/demo/fleet-config.ts
+++ b/demo/fleet-config.ts
@@ -1,24 +1,27 @@
-/** The configuration of a fleet, written as operators would. */
+/** Writes the configuration of a fleet through the operators' config editor. */
 import {grantKey} from '../src/cli/key-grant.js';
 import {SystemClock} from '../src/infra/clock.js';
 import type {ConfigEditor} from '../src/rollout/editor.js';
 import type {GroupRow, TableRow, TeamRow} from '../src/rollout/table.js';
 import type {Profile} from './profiles.js';
 
-/** How a fleet's table differs from the profile's defaults. */
+/** Options of the configuration table; omitted ones take the defaults below. */
 export interface TableOptions {
   readonly profile: Profile;
   readonly ack?: GroupRow['ack'];
   readonly staleMs?: number;
+  /** Overrides of the profile's team rows, matched by name. */
   readonly teams?: readonly Partial<TeamRow>[];
 }
 
-/** Writes the table and grants every team a key; returns the keys by team. */
+/** Writes the group and team rows and grants each team an API key; returns the keys by team. */
 export async function writeConfiguration(
   editor: ConfigEditor,
   options: TableOptions,
 ): Promise<ReadonlyMap<string, string>> {
-  const edits = tableRows(options).map(row => ({kind: 'put', row}) as const);
+  const edits = createTableRows(options).map(
+    row => ({kind: 'put', row}) as const,
+  );
   await editor.edit({kind: 'rows', edits}, {id: 'demo-table', by: 'demo'});
   const clock = new SystemClock();
   const keys = new Map<string, string>();
@@ -30,7 +33,7 @@
   return keys;
 }
 
-function tableRows({
+function createTableRows({
   profile,
   ack = 'replica',
   staleMs = 1_000,
--- a/demo/fleet-members.ts
+++ b/demo/fleet-members.ts
@@ -1,23 +1,23 @@
-/** The processes that a deployment consists of, and how each is started. */
+/** Starts the processes of a fleet: nodes, databases and the store. */
 import type {DatabaseSpec, GroupSpec} from '../src/groups/types.js';
 import type {VmRecord} from '../src/infra/vm-list.js';
 import {FleetProcess} from './processes.js';
 import type {Profile} from './profiles.js';
 
-/** Where every process of a fleet listens. */
+/** Address that every process of a fleet listens on. */
 export const HOST = '127.0.0.1';
-/** The user that nodes log in to databases with. */
+/** User name with which nodes connect to databases. */
 export const TARGET_USER = 'zinnia';
-/** Its password. */
+/** Password of {@link TARGET_USER}. */
 export const TARGET_PASSWORD = 'target-password-of-the-nodes';
 const TOKEN_SECRET = 'token-secret-of-the-demo-fleet';
 const PEER_SECRET = 'peer-secret-of-the-demo-fleet';
-/** Databases in each group. */
+/** Number of databases in each group. */
 export const DATABASES_PER_GROUP = 3;
 const CONTROL_CONNECTIONS = 24;
 const DATABASE_SCRIPT = 'standins/database/main.js';
 
-/** Where a node of the fleet runs. */
+/** VM, ports and data centre of a node. */
 export interface NodeAddress {
   readonly vm: string;
   readonly port: number;
@@ -26,12 +26,12 @@
   readonly dataCentre: string;
 }
 
-/** A node of the fleet. */
+/** A node and its current process, which a restart replaces. */
 export interface FleetNode extends NodeAddress {
   process: FleetProcess;
 }
 
-/** A database of the fleet. */
+/** A database stand-in and its current process, which a restart replaces. */
 export interface FleetDatabase {
   readonly group: string;
   readonly spec: DatabaseSpec;
@@ -40,14 +40,16 @@
   process: FleetProcess;
 }
 
-/** What the databases of a group are started with. */
+/** Settings shared by the databases of a group. */
 export interface DatabaseSettings {
   readonly profile: Profile;
+  /** Replication lag. */
   readonly lagMs: number;
+  /** Time that the database takes to run a statement. */
   readonly serviceMs: number;
 }
 
-/** What a node is started with beside its own addresses. */
+/** Settings of a node other than its own addresses. */
 export interface NodeSettings {
   readonly storeUrl: string;
   readonly seeds: readonly NodeAddress[];
@@ -55,8 +57,8 @@
   readonly env: Readonly<Record<string, string>>;
 }
 
-/** Starts the databases of one group, the first of them as its primary. */
-export function startGroup(
+/** Starts the databases of a group, the first as primary and the others as replicas. */
+export function startGroupDatabases(
   group: string,
   settings: DatabaseSettings,
   takePort: () => number,
@@ -75,28 +77,28 @@
     } as const,
     adminPort: takePort(),
   }));
-  return specs.map((own, index) => {
+  return specs.map((database, index) => {
     const peers = specs
-      .filter(other => other !== own)
+      .filter(other => other !== database)
       .map(({spec, adminPort}) => `${spec.id}@${HOST}:${adminPort}`);
     const args = [
-      ...databaseArgs(own.spec, settings),
-      `--admin-port=${own.adminPort}`,
+      ...createDatabaseArgs(database.spec, settings),
+      `--admin-port=${database.adminPort}`,
       `--peers=${peers.join(',')}`,
       ...(index === 0 ? ['--primary'] : []),
     ];
     const process = new FleetProcess(DATABASE_SCRIPT, args);
-    return {group, ...own, args, process};
+    return {group, ...database, args, process};
   });
 }
 
-/** Starts a database again, empty and as a replica. */
+/** Starts a new, empty process for a database, as a replica. */
 export function startReplica({args}: FleetDatabase): FleetProcess {
   const replicaArgs = args.filter(arg => arg !== '--primary');
   return new FleetProcess(DATABASE_SCRIPT, replicaArgs);
 }
 
-/** Starts the store's stand-in with what the platform lists. */
+/** Starts the store stand-in with the platform's lists of VMs and groups. */
 export function startStore(
   port: number,
   nodes: readonly NodeAddress[],
@@ -109,7 +111,7 @@
   ]);
 }
 
-/** Starts a node's process. */
+/** Starts the process of a node. */
 export function startNode(
   node: NodeAddress,
   {storeUrl, seeds, logLevel, env}: NodeSettings,
@@ -134,7 +136,7 @@
   });
 }
 
-/** A node as the platform lists it. */
+/** Returns the entry of a node in the platform's VM list. */
 export function toVmRecord(node: NodeAddress): VmRecord {
   return {
     id: node.vm,
@@ -146,7 +148,7 @@
   };
 }
 
-function databaseArgs(
+function createDatabaseArgs(
   spec: DatabaseSpec,
   {profile, lagMs, serviceMs}: DatabaseSettings,
 ): readonly string[] {
--- a/demo/fleet.ts
+++ b/demo/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole deployment on this machine: store, databases and nodes. */
+/** A complete local deployment: store, databases and nodes, each as a process. */
 import {EtcdStore} from '../src/infra/etcd-store.js';
 import {SystemClock, SystemRandom} from '../src/infra/clock.js';
 import {ConfigEditor} from '../src/rollout/editor.js';
@@ -7,7 +7,7 @@
 import {
   DATABASES_PER_GROUP,
   HOST,
-  startGroup,
+  startGroupDatabases,
   startNode,
   startReplica,
   startStore,
@@ -20,7 +20,7 @@
 export {TARGET_PASSWORD, TARGET_USER, toVmRecord} from './fleet-members.js';
 export type {FleetDatabase, FleetNode} from './fleet-members.js';
 
-/** How a fleet differs from the profile's defaults. */
+/** Options of a fleet; omitted ones take defaults. */
 export interface FleetOptions extends TableOptions {
   readonly nodes?: number;
   readonly lagMs?: number;
@@ -29,7 +29,7 @@
   readonly env?: Readonly<Record<string, string>>;
 }
 
-/** A running deployment. */
+/** A running fleet of nodes with its databases and store. */
 export class Fleet {
   readonly nodes: FleetNode[] = [];
   readonly databases: FleetDatabase[] = [];
@@ -50,7 +50,7 @@
     });
   }
 
-  /** Starts everything; resolves once every node serves callers. */
+  /** Starts all processes; resolves once every node serves callers. */
   static async start(options: FleetOptions): Promise<Fleet> {
     const {profile, nodes = 7} = options;
     const databases = profile.groups.length * DATABASES_PER_GROUP;
@@ -70,35 +70,36 @@
     return `http://${HOST}:${this.#storePort}`;
   }
 
+  /** Edits the configuration in the fleet's store. */
   get editor(): ConfigEditor {
     return this.#editor;
   }
 
-  /** One key for each team. */
+  /** API keys by team name. */
   get keys(): ReadonlyMap<string, string> {
     return this.#keys;
   }
 
-  /** The store's process. */
+  /** The process of the store stand-in. */
   get storeProcess(): FleetProcess {
     if (this.#store === undefined) throw new Error('start the fleet first');
     return this.#store;
   }
 
-  /** Ends every process of the fleet. */
+  /** Kills all processes of the fleet. */
   async stop(): Promise<void> {
     const members = [...this.nodes, ...this.databases];
     const all = [...members.map(({process}) => process), this.#store];
-    await Promise.all(all.map(one => one?.kill()));
+    await Promise.all(all.map(process => process?.kill()));
   }
 
-  /** Turns a switch of the store's stand-in. */
-  storeSwitch(name: string, body: unknown): Promise<void> {
+  /** Posts to a fault control of the store stand-in, such as `outage`. */
+  controlStore(name: string, body: unknown): Promise<void> {
     return postJson(`${this.storeUrl}/standin/${name}`, body);
   }
 
-  /** Turns a switch of a database's stand-in. */
-  databaseSwitch(
+  /** Posts to a control of a database stand-in, such as `freeze` or `partition`. */
+  controlDatabase(
     database: FleetDatabase,
     name: string,
     body: unknown,
@@ -106,7 +107,7 @@
     return postJson(adminUrl(database, name), body);
   }
 
-  /** Reads JSON from a database's stand-in. */
+  /** Reads JSON from the admin port of a database stand-in. */
   readDatabase<Value>(database: FleetDatabase, path: string): Promise<Value> {
     return getJson(adminUrl(database, path));
   }
@@ -116,21 +117,24 @@
     return getJson(adminUrl(node, path));
   }
 
-  /** Starts a node's process again, as after a restart of its VM. */
+  /** Starts a new process for a node; resolves once it serves callers. */
   async restartNode(node: FleetNode): Promise<void> {
     node.process = this.#startNode(node);
     await node.process.waitFor('event=nodeStarted');
   }
 
-  /** Starts a database again, empty and as a replica. */
+  /** Starts a new, empty process for a database, as a replica. */
   restartDatabase(database: FleetDatabase): void {
     database.process = startReplica(database);
   }
 
-  /** The group's primary as the databases report it. */
+  /**
+   * Returns the primary of a group according to the first node that answers and
+   * knows one; undefined if none does.
+   */
   async findPrimary(group: string): Promise<FleetDatabase | undefined> {
     for (const node of this.nodes) {
-      const status = await this.readNode<GroupsAnswer>(node, 'groups').catch(
+      const status = await this.readNode<GroupsResponse>(node, 'groups').catch(
         () => undefined,
       );
       const view = status?.views.find(({name}) => name === group);
@@ -144,9 +148,9 @@
     const {profile, lagMs = 10, serviceMs = 1} = this.#options;
     const settings = {profile, lagMs, serviceMs};
     for (const group of profile.groups) {
-      this.databases.push(...startGroup(group, settings, takePort));
+      this.databases.push(...startGroupDatabases(group, settings, takePort));
     }
-    this.#addresses = this.#planNodes(nodes, takePort);
+    this.#addresses = this.#assignNodeAddresses(nodes, takePort);
     await this.#startStore();
     await waitForAll(this.databases, 'state=listening');
     this.#keys = await writeConfiguration(this.#editor, this.#options);
@@ -156,7 +160,10 @@
     await waitForAll(this.nodes, 'event=nodeStarted');
   }
 
-  #planNodes(count: number, takePort: () => number): readonly NodeAddress[] {
+  #assignNodeAddresses(
+    count: number,
+    takePort: () => number,
+  ): readonly NodeAddress[] {
     const {dataCentres} = this.#options.profile;
     return Array.from({length: count}, (_, index) => ({
       vm: `vm${index + 1}`,
@@ -186,7 +193,7 @@
   }
 }
 
-interface GroupsAnswer {
+interface GroupsResponse {
   readonly views: readonly {
     readonly name: string;
     readonly primaryId?: string;
--- a/demo/record.ts
+++ b/demo/load-record.ts
@@ -1,9 +1,9 @@
-/** What a load's sessions did and saw: the client's own record. */
+/** Client-side record of the statements of a load and their outcomes. */
 
-/** How a client learned of the end of a request. */
+/** Outcome of a request from the client's view; `unknown` if it may have run. */
 export type ClientOutcome = 'acknowledged' | 'notRun' | 'unknown' | 'error';
 
-/** One refusal or failure as the client saw it. */
+/** A refused or failed request. `at` is on the `performance.now()` scale. */
 export interface Failure {
   readonly at: number;
   readonly team: string;
@@ -12,7 +12,7 @@
   readonly message: string;
 }
 
-/** One acknowledged statement. */
+/** An acknowledged statement. `at` is on the `performance.now()` scale. */
 export interface Completion {
   readonly at: number;
   readonly team: string;
@@ -21,7 +21,10 @@
   readonly elapsedMs: number;
 }
 
-/** Increments of one counter row: exactly one per acknowledged write. */
+/**
+ * Increments of a counter row, one per write. The stored value must lie between
+ * `acknowledged` and `acknowledged + unknown`.
+ */
 export interface CounterRecord {
   readonly group: string;
   readonly id: string;
@@ -29,21 +32,21 @@
   unknown: number;
 }
 
-/** Collects what every session of a load saw. */
+/** Collects the results of all sessions of a load. */
 export class LoadRecord {
   readonly completions: Completion[] = [];
   readonly failures: Failure[] = [];
   readonly counters: CounterRecord[] = [];
-  /** Ids of rows whose insert was acknowledged, by group. */
+  /** Ids of rows whose insert was committed, by group. */
   readonly inserted = new Map<string, string[]>();
-  /** Reads that did not show what the session had written before. */
+  /** Reads that missed an earlier write of their own session. */
   readonly staleReads: string[] = [];
-  /** Rows that belong to another session than the one that asked. */
+  /** Reads that returned a row of another session. */
   readonly foreignRows: string[] = [];
-  /** Connections that ended while a request ran. */
-  cutRequests = 0;
+  /** Requests whose connection closed before the response. */
+  interruptedRequests = 0;
 
-  noteInsert(group: string, id: string): void {
+  recordInsert(group: string, id: string): void {
     const ids = this.inserted.get(group) ?? [];
     ids.push(id);
     this.inserted.set(group, ids);
@@ -56,8 +59,8 @@
   }
 }
 
-/** Sorts a database error by what it says of the request's fate. */
-export function outcomeOf(sqlstate: string): ClientOutcome {
+/** Classifies an SQLSTATE by whether the request ran. */
+export function classifySqlstate(sqlstate: string): ClientOutcome {
   if (sqlstate === '08007') return 'unknown';
   if (/^(53|57P)/.test(sqlstate)) return 'notRun';
   return 'error';
--- a/demo/main.ts
+++ b/demo/main.ts
@@ -1,18 +1,18 @@
-/** `npm run demo`: a whole fleet under load, with one primary killed. */
+/** `npm run demo`: runs a fleet under load, kills one primary and checks the guarantees. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import yargs from 'yargs';
 import {hideBin} from 'yargs/helpers';
-import {checkPromises} from './checks.js';
+import {checkGuarantees} from './guarantee-checks.js';
 import {Fleet} from './fleet.js';
-import {measure} from './measures.js';
+import {computeRunMetrics} from './run-metrics.js';
 import {PROFILES, TASMAN} from './profiles.js';
-import {LoadRecord} from './record.js';
+import {LoadRecord} from './load-record.js';
 import {SessionLoad} from './session-load.js';
 
 const LOAD_MS = 10_000;
 const KILL_AT_MS = 4_000;
 const PACE_MS = 20;
-/** How long the databases may take to settle before they are compared. */
+/** Time for replication and open requests to finish before the checks. */
 const SETTLE_MS = 500;
 
 const args = await yargs(hideBin(process.argv))
@@ -34,7 +34,7 @@
 
 async function runDemo(): Promise<number> {
   const profile = PROFILES[args.profile] ?? TASMAN;
-  say(`starting 7 nodes, 1 store and 9 databases (profile ${profile.name})`);
+  print(`starting 7 nodes, 1 store and 9 databases (profile ${profile.name})`);
   const fleet = await Fleet.start({profile});
   try {
     const record = new LoadRecord();
@@ -78,46 +78,50 @@
   const progress = setInterval(() => {
     const seconds = Math.round((performance.now() - startedAt) / 1_000);
     const {completions, failures} = record;
-    say(`${seconds} s: ${completions.length} done, ${failures.length} failed`);
+    print(
+      `${seconds} s: ${completions.length} done, ${failures.length} failed`,
+    );
   }, 1_000);
   await sleep(KILL_AT_MS);
   const primary = await fleet.findPrimary(failedGroup);
-  say(`killing ${primary?.spec.id}, the primary of ${failedGroup}`);
+  print(`killing ${primary?.spec.id}, the primary of ${failedGroup}`);
   await primary?.process.kill();
   await Promise.all(sessions);
   clearInterval(progress);
 }
 
+/** Prints the metrics and checks; returns the exit code, 1 if a guarantee was violated. */
 async function report(
   fleet: Fleet,
   record: LoadRecord,
   failedGroup: string,
 ): Promise<number> {
   const {teams} = PROFILES[args.profile] ?? TASMAN;
-  const measures = await measure(fleet, record, teams, failedGroup);
-  say(
-    `statements done: ${measures.statements}, p50 ${measures.p50Ms.toFixed(1)} ms, p99 ${measures.p99Ms.toFixed(1)} ms`,
+  const metrics = await computeRunMetrics(fleet, record, teams, failedGroup);
+  print(
+    `statements done: ${metrics.statements}, p50 ${metrics.p50Ms.toFixed(1)} ms, p99 ${metrics.p99Ms.toFixed(1)} ms`,
   );
-  say(`reads served by replicas: ${percent(measures.replicaShare)}`);
-  say(
-    `failover gap of ${failedGroup}: writes ${Math.round(measures.writeGapMs)} ms, reads ${Math.round(measures.readGapMs)} ms`,
+  print(`reads served by replicas: ${percent(metrics.replicaShare)}`);
+  print(
+    `failover gap of ${failedGroup}: writes ${Math.round(metrics.writeGapMs)} ms, reads ${Math.round(metrics.readGapMs)} ms`,
   );
-  say(
-    `worst-served team: ${measures.worstTeam.name}, ${percent(measures.worstTeam.share)} of its requests`,
+  print(
+    `worst-served team: ${metrics.worstTeam.name}, ${percent(metrics.worstTeam.share)} of its requests`,
   );
-  say(`refused inside the rate: ${measures.refusedInsideRate}`);
-  for (const [what, count] of countFailures(record))
-    say(`failures ${what}: ${count}`);
-  const checks = await checkPromises(fleet, record);
-  for (const {promise, violations} of checks) {
+  print(`refused inside the rate: ${metrics.refusedInsideRate}`);
+  for (const [failure, count] of countFailures(record))
+    print(`failures ${failure}: ${count}`);
+  const checks = await checkGuarantees(fleet, record);
+  for (const {guarantee, violations} of checks) {
     const mark = violations.length === 0 ? 'held  ' : 'BROKEN';
-    say(
-      `${mark} ${promise}${violations.length ? `: ${violations.slice(0, 3).join('; ')}` : ''}`,
+    print(
+      `${mark} ${guarantee}${violations.length ? `: ${violations.slice(0, 3).join('; ')}` : ''}`,
     );
   }
   return checks.every(({violations}) => violations.length === 0) ? 0 : 1;
 }
 
+/** Counts failures by outcome, SQLSTATE and message; returns the 8 most frequent. */
 function countFailures(record: LoadRecord): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const {outcome, sqlstate, message} of record.failures) {
@@ -131,7 +135,7 @@
   return `${(share * 100).toFixed(1)}%`;
 }
 
-function say(line: string): void {
+function print(line: string): void {
   console.log(line);
 }
 
--- a/demo/processes.ts
+++ b/demo/processes.ts
@@ -1,10 +1,10 @@
-/** Child processes of the demo, the benches and the process tests. */
+/** Starts and stops child processes for the demo, benchmarks and fleet tests. */
 import {spawn, type ChildProcess} from 'node:child_process';
 import {createServer, type Server} from 'node:net';
 import {dirname, join} from 'node:path';
 import {fileURLToPath} from 'node:url';
 
-/** `dist`, whether this runs compiled or under the test runner. */
+/** Path of `dist`, both when run from `dist/demo` and from source by the test runner. */
 const DIST = join(
   dirname(fileURLToPath(import.meta.url)).replace(
     /[/\\]dist[/\\]demo$|[/\\]demo$/,
@@ -14,24 +14,25 @@
 );
 const START_TIMEOUT_MS = 20_000;
 const FIRST_PORT = 10_000;
-const PORTS = 20_000;
+const PORT_COUNT = 20_000;
 
-/** Processes still running, ended with this one whatever ends it. */
-const running = new Set<ChildProcess>();
+/** Running child processes; killed when this process exits. */
+const runningChildren = new Set<ChildProcess>();
 process.once('exit', () => {
-  for (const child of running) child.kill('SIGKILL');
+  for (const child of runningChildren) child.kill('SIGKILL');
 });
 
-/** One process and what it wrote to standard error. */
+/** A child process with its captured standard output and standard error. */
 export class FleetProcess {
   readonly #child: ChildProcess;
-  #errors = '';
+  #stderr = '';
   #output = '';
   readonly #exited: Promise<void>;
 
   /**
    * @param script path under `dist`
-   * @param args its command line
+   * @param args command line arguments
+   * @param env environment variables, added to those of this process
    */
   constructor(
     script: string,
@@ -43,9 +44,9 @@
       stdio: ['ignore', 'pipe', 'pipe'],
     });
     this.#child.stdout?.on('data', chunk => (this.#output += String(chunk)));
-    this.#child.stderr?.on('data', chunk => (this.#errors += String(chunk)));
-    running.add(this.#child);
-    this.#child.once('exit', () => running.delete(this.#child));
+    this.#child.stderr?.on('data', chunk => (this.#stderr += String(chunk)));
+    runningChildren.add(this.#child);
+    this.#child.once('exit', () => runningChildren.delete(this.#child));
     this.#exited = new Promise(resolve =>
       this.#child.once('exit', () => resolve()),
     );
@@ -55,22 +56,25 @@
     return this.#child.pid ?? -1;
   }
 
-  /** What it wrote to standard error: the log. */
+  /** Standard error so far, which carries the log. */
   get log(): string {
-    return this.#errors;
+    return this.#stderr;
   }
 
-  /** What it wrote to standard output. */
+  /** Standard output so far. */
   get output(): string {
     return this.#output;
   }
 
-  /** Resolves once `text` has been written to either stream. */
+  /**
+   * Resolves once either stream contains `text`; throws if the process exits
+   * first or does not write it in time.
+   */
   async waitFor(text: string): Promise<void> {
-    const until = Date.now() + START_TIMEOUT_MS;
-    while (!this.#output.includes(text) && !this.#errors.includes(text)) {
-      if (this.#child.exitCode !== null || Date.now() > until) {
-        throw new Error(`process did not write "${text}":\n${this.#errors}`);
+    const deadlineAt = Date.now() + START_TIMEOUT_MS;
+    while (!this.#output.includes(text) && !this.#stderr.includes(text)) {
+      if (this.#child.exitCode !== null || Date.now() > deadlineAt) {
+        throw new Error(`process did not write "${text}":\n${this.#stderr}`);
       }
       await new Promise(resolve => setTimeout(resolve, 10));
     }
@@ -80,11 +84,12 @@
     this.#child.kill(name);
   }
 
-  /** Resolves at the process's end. */
+  /** Resolves when the process has exited. */
   exited(): Promise<void> {
     return this.#exited;
   }
 
+  /** Kills the process, if it still runs, and waits for its exit. */
   async kill(): Promise<void> {
     if (this.#child.exitCode !== null || this.#child.signalCode !== null)
       return;
@@ -94,14 +99,13 @@
 }
 
 /**
- * Finds free ports on the loopback interface, away from those that the system
- * gives to outgoing connections: one of these could take a port again before
- * its process listens.
+ * Finds free ports on the loopback interface, below the ephemeral range: an
+ * outgoing connection could take an ephemeral port before its process listens.
  */
 export async function findPorts(count: number): Promise<readonly number[]> {
   const servers = new Map<number, Server>();
   while (servers.size < count) {
-    const port = FIRST_PORT + Math.floor(Math.random() * PORTS);
+    const port = FIRST_PORT + Math.floor(Math.random() * PORT_COUNT);
     const server = servers.has(port) ? undefined : await tryListen(port);
     if (server !== undefined) servers.set(port, server);
   }
@@ -113,7 +117,7 @@
   return [...servers.keys()];
 }
 
-/** A server on the port; undefined if the port is in use. */
+/** Listens on the port; resolves to undefined if that fails. */
 function tryListen(port: number): Promise<Server | undefined> {
   const server = createServer();
   return new Promise(resolve => {
--- a/demo/profiles.ts
+++ b/demo/profiles.ts
@@ -1,26 +1,30 @@
-/** The users' two deployments, at the sizes of today. */
+/** Profiles of two deployments of the users, at their current sizes. */
 
-/** One team and how much it sends. */
+/** A team, its number of load sessions and its rate limit. */
 export interface TeamProfile {
   readonly name: string;
-  /** Sessions that the load opens for it. */
+  /** Number of sessions that the load opens. */
   readonly sessions: number;
+  /** Allowed statements per second. */
   readonly rate: number;
+  /** Capacity of the team's token bucket. */
   readonly burst: number;
 }
 
-/** A deployment: places, databases and teams. */
+/** A deployment: data centres, database groups and teams. */
 export interface Profile {
   readonly name: string;
   readonly dataCentres: readonly string[];
   readonly groups: readonly string[];
+  /** Statements that a database runs concurrently. */
   readonly slots: number;
   readonly maxConnections: number;
+  /** Time that a database takes to open a connection. */
   readonly connectCostMs: number;
   readonly teams: readonly TeamProfile[];
 }
 
-/** Two teams are large, six are small. */
+/** Creates teams with many sessions and a high rate, and teams with few and a low one. */
 function createTeams(
   large: readonly string[],
   small: readonly string[],
@@ -59,7 +63,7 @@
   ),
 };
 
-/** The profiles by name. */
+/** Profiles by name. */
 export const PROFILES: Readonly<Record<string, Profile>> = {
   tasman: TASMAN,
   lumbre: LUMBRE,
--- a/demo/measures.ts
+++ b/demo/run-metrics.ts
@@ -1,25 +1,28 @@
-/** The four measures of the brief, from the clients' own record. */
+/** Metrics of a load run, from the client-side record and the nodes' counters. */
 import type {StatementKind} from '../src/telemetry/statement-metrics.js';
 import type {Fleet} from './fleet.js';
 import type {TeamProfile} from './profiles.js';
-import type {LoadRecord} from './record.js';
+import type {LoadRecord} from './load-record.js';
 
-/** Figures of one run. */
-export interface Measures {
+/** Metrics of one load run. */
+export interface RunMetrics {
+  /** Completed statements. */
   readonly statements: number;
-  /** Share of the reads that replicas served, from 0 to 1. */
+  /** Share of reads served by replicas, from 0 to 1. */
   readonly replicaShare: number;
-  /** The longest time without a completed write in the group that failed. */
+  /** Longest time without a completed write in the group with the fault. */
   readonly writeGapMs: number;
+  /** Longest time without a completed read in that group. */
   readonly readGapMs: number;
+  /** Team with the smallest share of its requests served. */
   readonly worstTeam: {readonly name: string; readonly share: number};
-  /** Refusals by rate of teams that sent less than their rate. */
+  /** Rate-limit refusals; none are expected, as the load stays below the rates. */
   readonly refusedInsideRate: number;
   readonly p50Ms: number;
   readonly p99Ms: number;
 }
 
-interface StatementsAnswer {
+interface StatementsResponse {
   readonly slices: readonly {
     readonly kind: StatementKind;
     readonly done: number;
@@ -27,25 +30,29 @@
   }[];
 }
 
-/** Derives the measures of a run. */
-export async function measure(
+/** Computes the metrics of a run. */
+export async function computeRunMetrics(
   fleet: Fleet,
   record: LoadRecord,
   teams: readonly TeamProfile[],
   failedGroup: string,
-): Promise<Measures> {
-  const elapsed = record.completions
+): Promise<RunMetrics> {
+  const latencies = record.completions
     .map(c => c.elapsedMs)
     .sort((a, b) => a - b);
+  // Latency at a quantile, 0 if nothing completed.
   const at = (share: number) =>
-    elapsed[Math.min(elapsed.length - 1, Math.floor(elapsed.length * share))] ??
-    0;
-  const ofGroup = record.completions.filter(c => c.group === failedGroup);
+    latencies[
+      Math.min(latencies.length - 1, Math.floor(latencies.length * share))
+    ] ?? 0;
+  const groupCompletions = record.completions.filter(
+    c => c.group === failedGroup,
+  );
   return {
     statements: record.completions.length,
     replicaShare: await readReplicaShare(fleet),
-    writeGapMs: longestGap(ofGroup.filter(c => c.kind === 'write')),
-    readGapMs: longestGap(ofGroup.filter(c => c.kind === 'read')),
+    writeGapMs: longestGap(groupCompletions.filter(c => c.kind === 'write')),
+    readGapMs: longestGap(groupCompletions.filter(c => c.kind === 'read')),
     worstTeam: findWorstTeam(record, teams),
     refusedInsideRate: record.failures.filter(f => f.sqlstate === '53400')
       .length,
@@ -54,7 +61,7 @@
   };
 }
 
-/** The longest time between two completions, in milliseconds. */
+/** Returns the longest time between two consecutive completions, in ms. */
 export function longestGap(
   completions: readonly {readonly at: number}[],
 ): number {
@@ -66,12 +73,13 @@
   return longest;
 }
 
+/** Reads the replica share of reads from the nodes; skips nodes that do not answer. */
 async function readReplicaShare(fleet: Fleet): Promise<number> {
   let reads = 0;
   let atReplicas = 0;
   for (const node of fleet.nodes) {
     const answer = await fleet
-      .readNode<StatementsAnswer>(node, 'statements')
+      .readNode<StatementsResponse>(node, 'statements')
       .catch(() => undefined);
     for (const slice of answer?.slices ?? []) {
       if (slice.kind !== 'read') continue;
@@ -82,11 +90,11 @@
   return reads === 0 ? 0 : atReplicas / reads;
 }
 
-/** The team with the smallest share of its requests served. */
+/** Returns the team with the smallest share of its requests served. */
 function findWorstTeam(
   record: LoadRecord,
   teams: readonly TeamProfile[],
-): Measures['worstTeam'] {
+): RunMetrics['worstTeam'] {
   const shares = teams.map(({name}) => {
     const done = record.completions.filter(c => c.team === name).length;
     const failed = record.failures.filter(f => f.team === name).length;
--- a/demo/session-load.ts
+++ b/demo/session-load.ts
@@ -1,33 +1,36 @@
-/** One session of the load: writes, reads its own writes, and roams. */
+/**
+ * A load session that writes, checks that it reads its own writes, and
+ * reconnects to random nodes with its session token.
+ */
 import pg from 'pg';
 import type {FleetNode} from './fleet.js';
 import {
-  outcomeOf,
+  classifySqlstate,
   type ClientOutcome,
   type CounterRecord,
   type LoadRecord,
-} from './record.js';
+} from './load-record.js';
 
-/** Statements before a session moves to another node. */
-const STATEMENTS_A_CONNECTION = 25;
-const CONNECT_RETRY_MS = 50;
+/** Operations on a connection before the session reconnects to a random node. */
+const STATEMENTS_PER_CONNECTION = 25;
+const CONNECT_RETRY_DELAY_MS = 50;
 
-/** How much of a session's statements is what; the rest are reads. */
+/** Shares of a session's operations, from 0 to 1; the rest are single reads. */
 export interface LoadMix {
   readonly writes: number;
   readonly transactions: number;
-  /** Whether transactions read before they write. */
+  /** True if transactions read the counter before they insert. */
   readonly readsInTransactions?: boolean;
 }
 
-/** One write in five, one transaction in twenty. */
-export const MIXED: LoadMix = {writes: 0.2, transactions: 0.05};
-/** Reads only, after one write. */
-export const READS: LoadMix = {writes: 0, transactions: 0};
+/** 20% writes and 5% transactions. */
+export const MIXED_LOAD: LoadMix = {writes: 0.2, transactions: 0.05};
+/** Reads only, after the insert of the counter row. */
+export const READ_ONLY_LOAD: LoadMix = {writes: 0, transactions: 0};
 /** Writes only. */
-export const WRITES: LoadMix = {writes: 1, transactions: 0};
+export const WRITE_ONLY_LOAD: LoadMix = {writes: 1, transactions: 0};
 
-/** What one session of the load does. */
+/** Options of a load session. */
 export interface SessionLoadOptions {
   readonly id: string;
   readonly team: string;
@@ -35,24 +38,24 @@
   readonly group: string;
   readonly nodes: readonly FleetNode[];
   readonly record: LoadRecord;
-  /** Milliseconds between two statements on average. */
+  /** Mean pause between operations. */
   readonly paceMs: number;
   readonly mix?: LoadMix;
   readonly random: () => number;
   readonly isOver: () => boolean;
 }
 
-/** A caller that uses the stock client and keeps its session token. */
+/** A load session: a `pg` client that passes its session token to each new connection. */
 export class SessionLoad {
   readonly #options: SessionLoadOptions;
   readonly #counter: CounterRecord;
   #client: pg.Client | undefined;
   #token = '';
-  #serial = 0;
-  /** The least value that the session must read back from its counter. */
-  #floor = 0;
+  #lastRowNumber = 0;
+  /** Acknowledged increments; a read that returns less is stale. */
+  #minCounterValue = 0;
   #created = false;
-  /** How this session's last failed statement ended. */
+  /** Outcome of the last failed statement of this session. */
   #lastFailure: ClientOutcome | undefined;
 
   constructor(options: SessionLoadOptions) {
@@ -63,13 +66,13 @@
     );
   }
 
-  /** Runs until the load is over. */
+  /** Runs operations until `isOver` returns true. */
   async run(): Promise<void> {
     const {isOver} = this.#options;
     while (!isOver()) {
       const client = await this.#connect();
       if (client === undefined) continue;
-      for (let n = 0; n < STATEMENTS_A_CONNECTION && !isOver(); n++) {
+      for (let n = 0; n < STATEMENTS_PER_CONNECTION && !isOver(); n++) {
         if (this.#client === undefined) break;
         await this.#step(client);
         await this.#pause();
@@ -93,20 +96,20 @@
         : {options: `-c zinnia.session=${this.#token}`}),
     });
     client.on('error', () => (this.#client = undefined));
-    this.#keepToken(client);
+    this.#trackSessionToken(client);
     try {
       await client.connect();
       this.#client = client;
       return client;
     } catch {
       client.end().catch(() => {});
-      await sleep(CONNECT_RETRY_MS);
+      await sleep(CONNECT_RETRY_DELAY_MS);
       return undefined;
     }
   }
 
-  /** The proxy reports the token after each write. */
-  #keepToken(client: pg.Client): void {
+  /** Stores the session token, which the proxy reports after each write. */
+  #trackSessionToken(client: pg.Client): void {
     const {connection} = client as unknown as {
       connection: NodeJS.EventEmitter;
     };
@@ -126,13 +129,15 @@
     await client?.end().catch(() => {});
   }
 
+  /** Creates the counter row first, then picks an operation by the load mix. */
   async #step(client: pg.Client): Promise<void> {
     if (!this.#created) return this.#createCounter(client);
-    const {mix = MIXED, random} = this.#options;
+    const {mix = MIXED_LOAD, random} = this.#options;
     const draw = random();
-    if (draw < mix.transactions) return this.#transact(client);
-    if (draw < mix.transactions + mix.writes) return this.#increment(client);
-    return this.#readBack(client);
+    if (draw < mix.transactions) return this.#runInsertTransaction(client);
+    if (draw < mix.transactions + mix.writes)
+      return this.#incrementCounter(client);
+    return this.#readOwnCounter(client);
   }
 
   async #createCounter(client: pg.Client): Promise<void> {
@@ -147,7 +152,7 @@
     this.#created = done !== undefined;
   }
 
-  async #increment(client: pg.Client): Promise<void> {
+  async #incrementCounter(client: pg.Client): Promise<void> {
     const sql = 'UPDATE counters SET value = value + $1 WHERE id = $2';
     const done = await this.#query(client, 'write', sql, [
       '1',
@@ -155,48 +160,56 @@
     ]);
     if (done !== undefined) {
       this.#counter.acknowledged++;
-      this.#floor++;
+      this.#minCounterValue++;
       return;
     }
     if (this.#lastFailure !== 'notRun') this.#counter.unknown++;
   }
 
-  /** Inserts two rows in one transaction. */
-  async #transact(client: pg.Client): Promise<void> {
+  /** Inserts two rows in one transaction; records them if it commits. */
+  async #runInsertTransaction(client: pg.Client): Promise<void> {
     const {id, team, group, record} = this.#options;
-    const first = `row-${id}-${++this.#serial}`;
-    const second = `row-${id}-${++this.#serial}`;
+    const firstId = `row-${id}-${++this.#lastRowNumber}`;
+    const secondId = `row-${id}-${++this.#lastRowNumber}`;
     const sql = 'INSERT INTO entries (id, team, value) VALUES ($1, $2, $3)';
-    const began = await this.#query(client, 'write', 'BEGIN', []);
-    if (began === undefined) return;
-    if (this.#options.mix?.readsInTransactions) await this.#readBack(client);
-    const one = await this.#query(client, 'write', sql, [first, team, '1']);
-    const two =
-      one && (await this.#query(client, 'write', sql, [second, team, '2']));
-    const end = two === undefined ? 'ROLLBACK' : 'COMMIT';
-    const ended = await this.#query(client, 'write', end, []);
-    if (ended === undefined || two === undefined) return;
-    if (ended.command !== 'COMMIT') return;
-    record.noteInsert(group, first);
-    record.noteInsert(group, second);
+    const beginResult = await this.#query(client, 'write', 'BEGIN', []);
+    if (beginResult === undefined) return;
+    if (this.#options.mix?.readsInTransactions)
+      await this.#readOwnCounter(client);
+    const firstResult = await this.#query(client, 'write', sql, [
+      firstId,
+      team,
+      '1',
+    ]);
+    const secondResult =
+      firstResult &&
+      (await this.#query(client, 'write', sql, [secondId, team, '2']));
+    const endCommand = secondResult === undefined ? 'ROLLBACK' : 'COMMIT';
+    const endResult = await this.#query(client, 'write', endCommand, []);
+    if (endResult === undefined || secondResult === undefined) return;
+    if (endResult.command !== 'COMMIT') return;
+    record.recordInsert(group, firstId);
+    record.recordInsert(group, secondId);
   }
 
-  async #readBack(client: pg.Client): Promise<void> {
+  /** Reads the session's counter; records a stale value or a foreign row. */
+  async #readOwnCounter(client: pg.Client): Promise<void> {
     const {id, record} = this.#options;
     const sql = 'SELECT id, team, value FROM counters WHERE id = $1';
-    const floor = this.#floor;
+    const minValue = this.#minCounterValue;
     const res = await this.#query(client, 'read', sql, [this.#counter.id]);
     if (res === undefined) return;
     const row = res.rows[0] as {id: string; value: string} | undefined;
-    if (row === undefined || Number(row.value) < floor) {
+    if (row === undefined || Number(row.value) < minValue) {
       record.staleReads.push(
-        `session ${id} read ${row?.value ?? 'nothing'} after ${floor}`,
+        `session ${id} read ${row?.value ?? 'nothing'} after ${minValue}`,
       );
     } else if (row.id !== this.#counter.id) {
       record.foreignRows.push(`session ${id} read the row ${row.id}`);
     }
   }
 
+  /** Runs a statement and records its outcome; returns undefined if it failed. */
   async #query(
     client: pg.Client,
     kind: 'read' | 'write',
@@ -213,14 +226,14 @@
       return res;
     } catch (err) {
       const {code = '', message} = err as Error & {code?: string};
-      // Anything but a SQLSTATE means that the connection ended unanswered.
-      const isCut = !/^[0-9A-Z]{5}$/.test(code);
-      if (isCut) record.cutRequests++;
-      const outcome = isCut ? 'unknown' : outcomeOf(code);
+      // Without an SQLSTATE, the connection closed before the response.
+      const isInterrupted = !/^[0-9A-Z]{5}$/.test(code);
+      if (isInterrupted) record.interruptedRequests++;
+      const outcome = isInterrupted ? 'unknown' : classifySqlstate(code);
       this.#lastFailure = outcome;
       const at = performance.now();
       record.failures.push({at, team, outcome, sqlstate: code, message});
-      if (isCut) this.#client = undefined;
+      if (isInterrupted) this.#client = undefined;
       return undefined;
     }
   }
--- a/test/demo/session-load.test.ts
+++ b/test/demo/session-load.test.ts
@@ -1,14 +1,14 @@
 import {setTimeout} from 'node:timers/promises';
 import {expect, test} from 'vitest';
 import type {FleetNode} from '../../demo/fleet.js';
-import {LoadRecord} from '../../demo/record.js';
-import {SessionLoad, WRITES} from '../../demo/session-load.js';
+import {LoadRecord} from '../../demo/load-record.js';
+import {SessionLoad, WRITE_ONLY_LOAD} from '../../demo/session-load.js';
 import {createDatabase} from '../../standins/database/index.js';
 
 const PACE_MS = 5;
 const FREEZE_MS = 60_000;
 /** Time enough for a statement to be on its way. */
-const IN_FLIGHT_MS = 100;
+const SEND_WAIT_MS = 100;
 
 test('a write that was cut counts as unknown, whatever other sessions saw meanwhile', async () => {
   const database = await createDatabase({primary: true});
@@ -22,7 +22,7 @@
     nodes: [{port: database.port} as FleetNode],
     record,
     paceMs: PACE_MS,
-    mix: WRITES,
+    mix: WRITE_ONLY_LOAD,
     random: () => 0.5,
     isOver: () => isOver,
   }).run();
@@ -32,7 +32,7 @@
     method: 'POST',
     body: JSON.stringify({ms: FREEZE_MS}),
   });
-  await setTimeout(IN_FLIGHT_MS);
+  await setTimeout(SEND_WAIT_MS);
   const outcome = 'notRun';
   const foreign = {at: 0, team: 'other', outcome, sqlstate: '57P03'} as const;
   record.failures.push({...foreign, message: 'refused'});
--- a/test/fleet/drain.test.ts
+++ b/test/fleet/drain.test.ts
@@ -3,9 +3,9 @@
 
 const DRAIN_MS = 1_500;
 /** What a shutdown may take besides: telling others, handing shares back. */
-const REST_MS = 1_000;
+const MAX_OTHER_SHUTDOWN_MS = 1_000;
 /** New work of another node, which the leaving home hands on at once. */
-const WRITES = 5;
+const WRITE_COUNT = 5;
 
 test('a shutdown takes its drain time once, whoever leaves a transaction open', async () => {
   const fleet = await startFleet({env: {ZINNIA_DRAIN_MS: String(DRAIN_MS)}});
@@ -20,11 +20,11 @@
   const startedAt = performance.now();
   home.process.signal('SIGTERM');
   const client = await connect(fleet, other!);
-  for (let n = 0; n < WRITES; n++) await insert(client, `during-${n}`);
+  for (let n = 0; n < WRITE_COUNT; n++) await insert(client, `during-${n}`);
   expect(performance.now() - startedAt).toBeLessThan(DRAIN_MS);
   await home.process.exited();
   const tookMs = performance.now() - startedAt;
   expect(home.process.log).toMatch(/event=shutdownFinished .*cut=1/);
   expect(tookMs).toBeGreaterThanOrEqual(DRAIN_MS);
-  expect(tookMs).toBeLessThan(DRAIN_MS + REST_MS);
+  expect(tookMs).toBeLessThan(DRAIN_MS + MAX_OTHER_SHUTDOWN_MS);
 });
--- a/test/fleet/fixture.ts
+++ b/test/fleet/fixture.ts
@@ -2,7 +2,7 @@
 import pg from 'pg';
 import {onTestFinished} from 'vitest';
 import {RunningLoad} from '../../bench/load.js';
-import {checkPromises} from '../../demo/checks.js';
+import {checkGuarantees} from '../../demo/guarantee-checks.js';
 import {
   Fleet,
   type FleetDatabase,
@@ -10,8 +10,8 @@
   type FleetOptions,
 } from '../../demo/fleet.js';
 import type {Profile} from '../../demo/profiles.js';
-import type {Failure, LoadRecord} from '../../demo/record.js';
-import {MIXED, type LoadMix} from '../../demo/session-load.js';
+import type {Failure, LoadRecord} from '../../demo/load-record.js';
+import {MIXED_LOAD, type LoadMix} from '../../demo/session-load.js';
 import {GROUPS_KEY, type GroupSpec} from '../../src/groups/types.js';
 import {EtcdStore} from '../../src/infra/etcd-store.js';
 
@@ -25,8 +25,8 @@
 const NODES = 3;
 const SESSIONS = 9;
 const PACE_MS = 20;
-const POLL_MS = 20;
-const NO_BOUND = 100_000;
+const POLL_INTERVAL_MS = 20;
+const UNLIMITED_RATE = 100_000;
 const PROGRESS_TIMEOUT_MS = 12_000;
 
 /** The deployment of the test fleet. */
@@ -40,8 +40,8 @@
   teams: [TEAM, OTHER_TEAM].map(name => ({
     name,
     sessions: SESSIONS,
-    rate: NO_BOUND,
-    burst: NO_BOUND,
+    rate: UNLIMITED_RATE,
+    burst: UNLIMITED_RATE,
   })),
 };
 
@@ -67,7 +67,7 @@
   seed: number,
   {
     team = TEAM,
-    mix = MIXED,
+    mix = MIXED_LOAD,
     nodes = fleet.nodes,
   }: {team?: string; mix?: LoadMix; nodes?: readonly FleetNode[]} = {},
 ): RunningLoad {
@@ -92,7 +92,7 @@
   while (performance.now() < until) {
     const value = await check();
     if (value !== undefined) return value;
-    await sleep(POLL_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
   throw new Error(`not within ${timeoutMs} ms: ${what}`);
 }
@@ -110,18 +110,20 @@
 }
 
 /** The promises that were broken, with what broke them. */
-export async function findBroken(
+export async function findGuaranteeViolations(
   fleet: Fleet,
   record: LoadRecord,
 ): Promise<readonly string[]> {
-  const checks = await checkPromises(fleet, record);
-  return checks.flatMap(({promise, violations}) =>
+  const checks = await checkGuarantees(fleet, record);
+  return checks.flatMap(({guarantee: promise, violations}) =>
     violations.map(violation => `${promise}: ${violation}`),
   );
 }
 
 /** Requests whose connection ended without an answer of the proxy. */
-export function findCutRequests(record: LoadRecord): readonly Failure[] {
+export function findInterruptedRequests(
+  record: LoadRecord,
+): readonly Failure[] {
   return record.failures.filter(({sqlstate}) => !isSqlstate(sqlstate));
 }
 
--- a/test/fleet/keys.test.ts
+++ b/test/fleet/keys.test.ts
@@ -7,7 +7,7 @@
   TEAM,
   connect,
   countFailures,
-  findBroken,
+  findGuaranteeViolations,
   sleep,
   startFleet,
   startLoad,
@@ -18,18 +18,18 @@
 const SEED = 44;
 const STATEMENTS = 100;
 /** The stated bound for a withdrawal to be in force on every node. */
-const WITHDRAWAL_BOUND_MS = 4_000;
+const MAX_WITHDRAWAL_MS = 4_000;
 /** How long a session is used on before the test gives it up. */
-const GIVE_UP_MS = 8_000;
-const STATEMENT_EVERY_MS = 20;
-const WRONG_KEY = '28P01';
+const SESSION_USE_TIMEOUT_MS = 8_000;
+const STATEMENT_INTERVAL_MS = 20;
+const INVALID_PASSWORD = '28P01';
 const KEY_ID = /^zk_([0-9a-f]{16})_/;
 
 /** How and when a session ended; no code if it never did. */
 interface SessionEnd {
   readonly vm: string;
   readonly code?: string;
-  readonly afterMs: number;
+  readonly elapsedMs: number;
 }
 
 test('a withdrawn key ends its busy and idle sessions on every node within 4 s and no other team notices', async () => {
@@ -47,12 +47,12 @@
   const withdrawnAt = performance.now();
   expect(result.kind).toBe('applied');
   const ends = await Promise.all(
-    busy.map(session => useUntilEnd(session, withdrawnAt)),
+    busy.map(session => useSessionUntilEnd(session, withdrawnAt)),
   );
-  await sleep(WITHDRAWAL_BOUND_MS - (performance.now() - withdrawnAt));
+  await sleep(MAX_WITHDRAWAL_MS - (performance.now() - withdrawnAt));
   const idleEnds = await Promise.all(
-    idle.map(async ({vm, client, fatal}) => {
-      const err = fatal() ?? (await failureOf(client));
+    idle.map(async ({vm, client, getFatalError: fatal}) => {
+      const err = fatal() ?? (await runRead(client));
       return {vm, code: err?.code};
     }),
   );
@@ -71,21 +71,21 @@
   const record = await load.stop();
 
   for (const end of ends) {
-    expect.soft(end).toMatchObject({code: WRONG_KEY});
-    expect.soft(end.afterMs).toBeLessThan(WITHDRAWAL_BOUND_MS);
+    expect.soft(end).toMatchObject({code: INVALID_PASSWORD});
+    expect.soft(end.elapsedMs).toBeLessThan(MAX_WITHDRAWAL_MS);
   }
-  const codes = fleet.nodes.map(() => WRONG_KEY);
+  const codes = fleet.nodes.map(() => INVALID_PASSWORD);
   expect.soft(idleEnds.map(({code}) => code)).toEqual(codes);
   expect.soft(newcomers).toEqual(codes);
   expect.soft(countFailures(record.failures)).toEqual({});
-  expect(await findBroken(fleet, record)).toEqual([]);
+  expect(await findGuaranteeViolations(fleet, record)).toEqual([]);
 });
 
 /** A session and the error with which its connection was ended. */
 interface OpenSession {
   readonly vm: string;
   readonly client: pg.Client;
-  readonly fatal: () => ClientError | undefined;
+  readonly getFatalError: () => ClientError | undefined;
 }
 
 /** One session of the team on each node, each proved to work. */
@@ -94,29 +94,30 @@
     on.nodes.map(async node => {
       let first: ClientError | undefined;
       const client = await connect(on, node, TEAM, err => (first ??= err));
-      const err = await failureOf(client);
+      const err = await runRead(client);
       if (err !== undefined) throw new Error(`${GROUP}: ${err.message}`);
-      return {vm: node.vm, client, fatal: () => first};
+      return {vm: node.vm, client, getFatalError: () => first};
     }),
   );
 }
 
-async function useUntilEnd(
-  {vm, client, fatal}: OpenSession,
+async function useSessionUntilEnd(
+  {vm, client, getFatalError: fatal}: OpenSession,
   since: number,
 ): Promise<SessionEnd> {
-  while (performance.now() - since < GIVE_UP_MS) {
-    const err = fatal() ?? (await failureOf(client));
+  while (performance.now() - since < SESSION_USE_TIMEOUT_MS) {
+    const err = fatal() ?? (await runRead(client));
     const afterMs = performance.now() - since;
-    if (err !== undefined) return {vm, code: (fatal() ?? err).code, afterMs};
-    await sleep(STATEMENT_EVERY_MS);
+    if (err !== undefined)
+      return {vm, code: (fatal() ?? err).code, elapsedMs: afterMs};
+    await sleep(STATEMENT_INTERVAL_MS);
   }
   await client.end().catch(() => {});
-  return {vm, afterMs: GIVE_UP_MS};
+  return {vm, elapsedMs: SESSION_USE_TIMEOUT_MS};
 }
 
 /** The error of one read, if it fails. */
-function failureOf(client: pg.Client): Promise<ClientError | undefined> {
+function runRead(client: pg.Client): Promise<ClientError | undefined> {
   return client.query('SELECT id FROM counters WHERE id = $1', ['none']).then(
     () => undefined,
     (err: ClientError) => err,
--- a/test/fleet/leaving.test.ts
+++ b/test/fleet/leaving.test.ts
@@ -4,7 +4,7 @@
   GROUP,
   connect,
   countFailures,
-  findBroken,
+  findGuaranteeViolations,
   insert,
   removeFromGroup,
   sleep,
@@ -16,8 +16,8 @@
 const SEED = 47;
 const STATEMENTS = 300;
 /** The stated bound for the last new statement at a target that leaves. */
-const LEAVE_MS = 5_000;
-const OBSERVED_MS = 3_000;
+const MAX_REMOVAL_MS = 5_000;
+const OBSERVATION_MS = 3_000;
 /** So slow that statements run there at the moment it leaves. */
 const SLOW_STATEMENT_MS = 200;
 const ROWS = ['row-before-the-change', 'row-after-the-change'];
@@ -39,17 +39,17 @@
   await client.query('BEGIN');
   await insert(client, ROWS[0]!);
   const service = {ms: SLOW_STATEMENT_MS};
-  await running.databaseSwitch(leaving, 'service', service);
+  await running.controlDatabase(leaving, 'service', service);
   const early = await countStatements(leaving);
   await waitForProgress(load, STATEMENTS);
   const before = await countStatements(leaving);
 
   await removeFromGroup(running, leaving);
-  await sleep(LEAVE_MS);
+  await sleep(MAX_REMOVAL_MS);
   const counts = await Promise.all(
     [primary, other, leaving].map(countStatements),
   );
-  await sleep(OBSERVED_MS);
+  await sleep(OBSERVATION_MS);
   const later = await Promise.all(
     [primary, other, leaving].map(countStatements),
   );
@@ -65,5 +65,5 @@
   expect.soft(atOther).toBeGreaterThan(0);
   expect.soft(countFailures(record.failures)).toEqual({});
   record.inserted.get(GROUP)?.push(...ROWS);
-  expect(await findBroken(running, record)).toEqual([]);
+  expect(await findGuaranteeViolations(running, record)).toEqual([]);
 });
--- a/test/fleet/orderer.test.ts
+++ b/test/fleet/orderer.test.ts
@@ -1,6 +1,6 @@
 import pg from 'pg';
 import {describe, expect, test} from 'vitest';
-import {longestGap} from '../../demo/measures.js';
+import {longestGap} from '../../demo/run-metrics.js';
 import {
   TARGET_PASSWORD,
   TARGET_USER,
@@ -8,11 +8,11 @@
   type FleetDatabase,
   type FleetNode,
 } from '../../demo/fleet.js';
-import {WRITES} from '../../demo/session-load.js';
+import {WRITE_ONLY_LOAD} from '../../demo/session-load.js';
 import type {DatabaseStatus} from '../../src/groups/types.js';
 import {
   OTHER_TEAM,
-  findBroken,
+  findGuaranteeViolations,
   findHome,
   sleep,
   startFleet,
@@ -24,7 +24,7 @@
 const SEED = 49;
 const STATEMENTS = 200;
 /** The users' bound on one change of primary. */
-const PROMOTION_MS = 12_000;
+const MAX_PROMOTION_MS = 12_000;
 /** Long enough for another node to promote first. */
 const FREEZE_MS = 8_000;
 /** Longer than any test: orders are let go by hand. */
@@ -32,17 +32,17 @@
 const SETTLE_MS = 1_000;
 
 /** Where the order stands when its node is lost. */
-const STEPS = [
+const PROMOTION_STEPS = [
   ['before it fences', {order: 'fence', moment: 'before'}],
   ['between fence and promotion', {order: 'promote', moment: 'before'}],
   ['after the promotion', {order: 'promote', moment: 'after'}],
 ] as const;
 
-type Step = (typeof STEPS)[number][1];
+type PromotionStep = (typeof PROMOTION_STEPS)[number][1];
 type Fault = 'SIGKILL' | 'SIGSTOP';
 
 /** Whether a database commits a write that reaches it past the nodes. */
-async function acceptsWrite({spec}: FleetDatabase): Promise<boolean> {
+async function acceptsDirectWrite({spec}: FleetDatabase): Promise<boolean> {
   const client = new pg.Client({
     host: spec.host,
     port: spec.port,
@@ -62,10 +62,10 @@
 }
 
 /** Loses the primary, and the node that orders the promotion at a step. */
-async function loseOrderer(
+async function failPrimaryAndOrderer(
   running: Fleet,
   orderer: FleetNode,
-  step: Step,
+  step: PromotionStep,
   fault: Fault,
 ) {
   const [primary, ...replicas] = running.databases as [
@@ -75,13 +75,13 @@
   const hold = (ms: number) => {
     const body = {...step, orderer: `${orderer.vm}/`, ms};
     const order = (one: FleetDatabase) =>
-      running.databaseSwitch(one, 'hold', body);
+      running.controlDatabase(one, 'hold', body);
     return Promise.all(replicas.map(order));
   };
   await hold(HOLD_MS);
   const lostAt = performance.now();
   primary.process.signal(fault);
-  await waitUntil('an order is held', PROMOTION_MS, async () => {
+  await waitUntil('an order is held', MAX_PROMOTION_MS, async () => {
     const held = await Promise.all(
       replicas.map(one =>
         running.readDatabase<readonly unknown[]>(one, 'held'),
@@ -99,7 +99,7 @@
   return {primary, replicas, lostAt, letGo: () => hold(0)};
 }
 
-describe.each(STEPS)(
+describe.each(PROMOTION_STEPS)(
   'the node that orders a promotion is lost %s',
   (title, step) => {
     test.each(['SIGKILL', 'SIGSTOP'] as const)('by %s', async fault => {
@@ -108,10 +108,10 @@
       const nodes = running.nodes.filter(node => node !== home);
       const roaming = startLoad(running, SEED, {team: OTHER_TEAM});
       // A caller of a frozen node waits for it, so the gap is measured elsewhere.
-      const elsewhere = startLoad(running, SEED, {mix: WRITES, nodes});
+      const elsewhere = startLoad(running, SEED, {mix: WRITE_ONLY_LOAD, nodes});
       await waitForProgress(elsewhere, STATEMENTS);
 
-      const lost = await loseOrderer(running, home, step, fault);
+      const lost = await failPrimaryAndOrderer(running, home, step, fault);
       const {primary, replicas, lostAt} = lost;
       await waitForProgress(elsewhere, STATEMENTS);
       // What the lost node ordered arrives after another's promotion.
@@ -128,17 +128,17 @@
       const writes = records[1]!.completions.filter(({at}) => at >= lostAt);
       const gapMs = longestGap([{at: lostAt}, ...writes]);
       console.log(`${fault} ${title}: gap of ${Math.round(gapMs)} ms`);
-      expect.soft(gapMs).toBeLessThan(PROMOTION_MS);
+      expect.soft(gapMs).toBeLessThan(MAX_PROMOTION_MS);
       const alive = fault === 'SIGSTOP' ? [primary, ...replicas] : replicas;
       const statuses = await Promise.all(
         alive.map(one => running.readDatabase<DatabaseStatus>(one, 'status')),
       );
       const leading = statuses.filter(({role}) => role === 'primary');
       expect.soft(leading).toHaveLength(1);
-      const accepting = await Promise.all(alive.map(acceptsWrite));
+      const accepting = await Promise.all(alive.map(acceptsDirectWrite));
       expect.soft(accepting.filter(Boolean)).toHaveLength(1);
       for (const record of records) {
-        expect.soft(await findBroken(running, record)).toEqual([]);
+        expect.soft(await findGuaranteeViolations(running, record)).toEqual([]);
       }
     });
   },
--- a/test/fleet/rates.test.ts
+++ b/test/fleet/rates.test.ts
@@ -11,18 +11,18 @@
 
 const RATE = 120;
 const BURST = 60;
-const CALM_RATE = 200;
-const CALM_BURST = 100;
+const OTHER_TEAM_RATE = 200;
+const OTHER_TEAM_BURST = 100;
 const LOAD_MS = 6_000;
 /** Connections of each team to each node. */
 const CONNECTIONS = 4;
 /** 3 nodes, 4 connections and one request in 20 ms: 600 a second. */
-const LOUD_EVERY_MS = 20;
+const OVERLOAD_INTERVAL_MS = 20;
 /** 3 nodes, 4 connections and one request in 200 ms: 60 a second. */
-const CALM_EVERY_MS = 200;
+const OTHER_TEAM_INTERVAL_MS = 200;
 /** The stated target: a team's share of what it is entitled to. */
-const LEAST_SHARE = 0.95;
-const LEAST_EXCESS = 4;
+const MIN_SERVED_SHARE = 0.95;
+const MIN_OVERLOAD_FACTOR = 4;
 const RATE_LIMITED = '53400';
 const MS_PER_SECOND = 1_000;
 
@@ -37,23 +37,23 @@
   const fleet = await startFleet({
     teams: [
       {name: TEAM, rate: RATE, burst: BURST},
-      {name: OTHER_TEAM, rate: CALM_RATE, burst: CALM_BURST},
+      {name: OTHER_TEAM, rate: OTHER_TEAM_RATE, burst: OTHER_TEAM_BURST},
     ],
   });
   const [loud, calm] = await Promise.all([
-    sendAll(fleet, TEAM, LOUD_EVERY_MS),
-    sendAll(fleet, OTHER_TEAM, CALM_EVERY_MS),
+    sendAtInterval(fleet, TEAM, OVERLOAD_INTERVAL_MS),
+    sendAtInterval(fleet, OTHER_TEAM, OTHER_TEAM_INTERVAL_MS),
   ]);
   const served = loud.filter(({err}) => err === undefined);
   const refused = loud.flatMap(({err}) => err ?? []);
   const seconds = LOAD_MS / MS_PER_SECOND;
 
   // The load was what the title says.
-  expect(loud.length).toBeGreaterThan(LEAST_EXCESS * RATE * seconds);
-  expect.soft(findExcess(served)).toEqual([]);
+  expect(loud.length).toBeGreaterThan(MIN_OVERLOAD_FACTOR * RATE * seconds);
+  expect.soft(findRateViolations(served)).toEqual([]);
   expect
     .soft(served.length)
-    .toBeGreaterThanOrEqual(LEAST_SHARE * RATE * seconds);
+    .toBeGreaterThanOrEqual(MIN_SERVED_SHARE * RATE * seconds);
   for (const {code, detail} of refused) {
     expect(code).toBe(RATE_LIMITED);
     expect(detail).toMatch(/\bretry_after_ms=\d+\b/);
@@ -62,7 +62,7 @@
 });
 
 /** Sends at fixed times over all nodes; a late answer delays the next. */
-async function sendAll(
+async function sendAtInterval(
   on: Fleet,
   team: string,
   everyMs: number,
@@ -95,7 +95,7 @@
 }
 
 /** Windows with more requests wholly inside than rate and burst allow. */
-function findExcess(served: readonly Request[]): readonly string[] {
+function findRateViolations(served: readonly Request[]): readonly string[] {
   const byEnd = [...served].sort((a, b) => a.doneAt - b.doneAt);
   return served.flatMap(({sentAt: from}) => {
     const inside = byEnd.filter(({sentAt}) => sentAt >= from);
--- a/test/fleet/restarts.test.ts
+++ b/test/fleet/restarts.test.ts
@@ -1,11 +1,11 @@
 import {expect, test} from 'vitest';
 import {runOpenLoad} from '../../bench/open-load.js';
 import type {Fleet} from '../../demo/fleet.js';
-import {MIXED} from '../../demo/session-load.js';
+import {MIXED_LOAD} from '../../demo/session-load.js';
 import {
   countFailures,
-  findBroken,
-  findCutRequests,
+  findGuaranteeViolations,
+  findInterruptedRequests,
   GROUP,
   OTHER_TEAM,
   startFleet,
@@ -16,12 +16,12 @@
 const SEED = 41;
 const NODES = 7;
 /** Statements between two restarts, so that load is on every node. */
-const STATEMENTS_BETWEEN = 150;
-const MIX = {...MIXED, transactions: 0.2, readsInTransactions: true};
+const STATEMENTS_BETWEEN_RESTARTS = 150;
+const MIX = {...MIXED_LOAD, transactions: 0.2, readsInTransactions: true};
 const RATE = 200;
 const BURST = 100;
 /** What the team sends over all nodes, within its rate. */
-const SENT_SHARE = 0.8;
+const LOAD_SHARE = 0.8;
 const SEND_MS = 1_500;
 const WARM_UP_MS = 500;
 
@@ -29,25 +29,25 @@
   const team = {name: OTHER_TEAM, rate: RATE, burst: BURST};
   const fleet = await startFleet({nodes: NODES, teams: [team]});
   // Every node holds a share of the team's budget from now on.
-  await sendInsideRate(fleet, WARM_UP_MS);
+  await sendWithinRate(fleet, WARM_UP_MS);
   const load = startLoad(fleet, SEED, {mix: MIX});
-  await waitForProgress(load, STATEMENTS_BETWEEN);
+  await waitForProgress(load, STATEMENTS_BETWEEN_RESTARTS);
   for (const node of fleet.nodes) {
     node.process.signal('SIGTERM');
     await node.process.exited();
     expect.soft(node.process.log).toMatch(/event=shutdownFinished .*cut=0/);
     await fleet.restartNode(node);
-    await waitForProgress(load, STATEMENTS_BETWEEN);
+    await waitForProgress(load, STATEMENTS_BETWEEN_RESTARTS);
   }
   const record = await load.stop();
-  expect.soft(countFailures(findCutRequests(record))).toEqual({});
-  expect.soft(await findBroken(fleet, record)).toEqual([]);
-  expect.soft(await sendInsideRate(fleet, SEND_MS)).toEqual(['done']);
+  expect.soft(countFailures(findInterruptedRequests(record))).toEqual({});
+  expect.soft(await findGuaranteeViolations(fleet, record)).toEqual([]);
+  expect.soft(await sendWithinRate(fleet, SEND_MS)).toEqual(['done']);
   expect(await countRefusedConnections(fleet)).toBe(0);
 });
 
 /** The outcomes of a team's statements within its rate, over all nodes. */
-async function sendInsideRate(
+async function sendWithinRate(
   on: Fleet,
   durationMs: number,
 ): Promise<readonly string[]> {
@@ -55,7 +55,7 @@
     fleet: on,
     team: OTHER_TEAM,
     group: GROUP,
-    rate: RATE * SENT_SHARE,
+    rate: RATE * LOAD_SHARE,
     nodes: on.nodes,
     durationMs,
   });
--- a/test/fleet/store-outage.test.ts
+++ b/test/fleet/store-outage.test.ts
@@ -5,7 +5,7 @@
   OTHER_TEAM,
   TEAM,
   countFailures,
-  findBroken,
+  findGuaranteeViolations,
   readVersion,
   sleep,
   startFleet,
@@ -18,11 +18,11 @@
 const STATEMENTS = 200;
 const OUTAGE_MS = 8_000;
 /** The stated bound for an edit to be in force on every node. */
-const PROPAGATION_MS = 4_000;
+const MAX_PROPAGATION_MS = 4_000;
 /** More than the edit needs, since the nodes write to the store as well. */
-const LOST_ANSWERS = 5;
+const LOST_RESPONSES = 5;
 /** Statements must end within each of these parts of the outage. */
-const SERVICE_STEP_MS = 1_000;
+const SERVICE_CHECK_INTERVAL_MS = 1_000;
 const CANNOT_CONNECT_NOW = '57P03';
 
 test('service goes on through a store outage of 8 s', async () => {
@@ -30,7 +30,7 @@
   const load = startLoad(fleet, SEED);
   await waitForProgress(load, STATEMENTS);
   const startedAt = performance.now();
-  await fleet.storeSwitch('outage', {on: true});
+  await fleet.controlStore('outage', {on: true});
   await sleep(OUTAGE_MS);
   const standings = await Promise.all(
     fleet.nodes.map(node =>
@@ -38,7 +38,7 @@
     ),
   );
   const endedAt = performance.now();
-  await fleet.storeSwitch('outage', {on: false});
+  await fleet.controlStore('outage', {on: false});
   await waitForProgress(load, STATEMENTS);
   const record = await load.stop();
 
@@ -46,8 +46,12 @@
   expect
     .soft(standings.map(({standing}) => standing))
     .toEqual(fleet.nodes.map(() => 'outage'));
-  for (let from = startedAt; from < endedAt; from += SERVICE_STEP_MS) {
-    const until = from + SERVICE_STEP_MS;
+  for (
+    let from = startedAt;
+    from < endedAt;
+    from += SERVICE_CHECK_INTERVAL_MS
+  ) {
+    const until = from + SERVICE_CHECK_INTERVAL_MS;
     const done = record.completions.filter(
       ({at}) => at >= from && at < until,
     ).length;
@@ -57,35 +61,35 @@
     ({sqlstate}) => sqlstate === CANNOT_CONNECT_NOW,
   );
   expect.soft(countFailures(refusals)).toEqual({});
-  expect(await findBroken(fleet, record)).toEqual([]);
+  expect(await findGuaranteeViolations(fleet, record)).toEqual([]);
 });
 
 test('a node that restarts in a store outage comes back with the same version', async () => {
   const fleet = await startFleet();
   const row = createRow(OTHER_TEAM, 700);
   const result = await putRow(fleet, row, 'before-the-outage');
-  const version = versionOf(result);
+  const version = getAppliedVersion(result);
   await waitForVersion(fleet, version);
 
-  await fleet.storeSwitch('outage', {on: true});
+  await fleet.controlStore('outage', {on: true});
   const node = fleet.nodes[1]!;
   node.process.signal('SIGKILL');
   await node.process.exited();
   await fleet.restartNode(node);
   const seen = new Set<number>();
-  await waitUntil('the version of before', PROPAGATION_MS, async () => {
+  await waitUntil('the version of before', MAX_PROPAGATION_MS, async () => {
     const found = await readVersion(fleet, node);
     seen.add(found);
     return found >= version ? found : undefined;
   });
   expect([...seen]).toEqual([version]);
-  await fleet.storeSwitch('outage', {on: false});
+  await fleet.controlStore('outage', {on: false});
 });
 
 test('an edit whose answers were lost is settled, lands once and is in force on all nodes', async () => {
   const fleet = await startFleet();
   const before = await readVersion(fleet, fleet.nodes[0]!);
-  await fleet.storeSwitch('lostAnswers', {count: LOST_ANSWERS});
+  await fleet.controlStore('lostAnswers', {count: LOST_RESPONSES});
   const row = createRow(TEAM, 600);
   const result = await putRow(fleet, row, 'with-a-lost-answer');
   expect(result).toEqual({
@@ -114,7 +118,7 @@
   await waitForVersion(fleet, before + 3);
 });
 
-type Result = Awaited<ReturnType<Fleet['editor']['edit']>>;
+type EditResult = Awaited<ReturnType<Fleet['editor']['edit']>>;
 
 function createRow(name: string, rate: number): TeamRow {
   return {kind: 'team', name, rate, burst: 100, priority: 'urgent'};
@@ -125,13 +129,13 @@
   row: TeamRow,
   id: string,
   baseVersion?: number,
-): Promise<Result> {
+): Promise<EditResult> {
   const edits = [{kind: 'put', row}] as const;
   const base = baseVersion === undefined ? {} : {baseVersion};
   return editor.edit({kind: 'rows', edits, ...base}, {id, by: id});
 }
 
-function versionOf(result: Result): number {
+function getAppliedVersion(result: EditResult): number {
   if (result.kind !== 'applied') throw new Error(`the edit is ${result.kind}`);
   return result.version;
 }
@@ -140,7 +144,7 @@
 function waitForVersion(on: Fleet, version: number): Promise<true> {
   return waitUntil(
     `version ${version} on all nodes`,
-    PROPAGATION_MS,
+    MAX_PROPAGATION_MS,
     async () => {
       const found = await Promise.all(
         on.nodes.map(node => readVersion(on, node)),
--- a/test/fleet/switch.test.ts
+++ b/test/fleet/switch.test.ts
@@ -1,13 +1,13 @@
 import {expect, test} from 'vitest';
-import {longestGap} from '../../demo/measures.js';
+import {longestGap} from '../../demo/run-metrics.js';
 import type {Fleet} from '../../demo/fleet.js';
 import {FleetProcess} from '../../demo/processes.js';
-import {WRITES, type LoadMix} from '../../demo/session-load.js';
+import {WRITE_ONLY_LOAD, type LoadMix} from '../../demo/session-load.js';
 import {
   GROUP,
   OTHER_TEAM,
   countFailures,
-  findBroken,
+  findGuaranteeViolations,
   startFleet,
   startLoad,
   waitForProgress,
@@ -20,8 +20,8 @@
 const TRANSACTIONS: LoadMix = {writes: 0.2, transactions: 0.6};
 const SWITCHES = 4;
 /** The stated target for the time without a write in a planned switch. */
-const GAP_MS = 1_000;
-const NOTICED_MS = 2_000;
+const MAX_WRITE_GAP_MS = 1_000;
+const PRIMARY_CHANGE_TIMEOUT_MS = 2_000;
 
 /** Runs `zinnia group switch` as a process; returns what it printed. */
 async function switchGroup(running: Fleet, to: string): Promise<string> {
@@ -33,7 +33,7 @@
 
 test('planned switches under load hold writes, and refuse, lose and double none', async () => {
   const running = await startFleet();
-  const load = startLoad(running, SEED, {mix: WRITES});
+  const load = startLoad(running, SEED, {mix: WRITE_ONLY_LOAD});
   const transactions = startLoad(running, SEED, {
     mix: TRANSACTIONS,
     team: OTHER_TEAM,
@@ -45,8 +45,11 @@
     const from = performance.now();
     const said = await switchGroup(running, target.spec.id);
     expect(said).toMatch(`${target.spec.id} is primary of ${GROUP} from term`);
-    await waitUntil('the new primary is known', NOTICED_MS, async () =>
-      (await running.findPrimary(GROUP)) === target ? true : undefined,
+    await waitUntil(
+      'the new primary is known',
+      PRIMARY_CHANGE_TIMEOUT_MS,
+      async () =>
+        (await running.findPrimary(GROUP)) === target ? true : undefined,
     );
     await waitForProgress(load, STATEMENTS);
     gaps.push(longestGap(load.record.completions.filter(c => c.at >= from)));
@@ -54,9 +57,9 @@
   const records = [await load.stop(), await transactions.stop()];
 
   console.log(`longest gaps in ms: ${gaps.map(Math.round).join(', ')}`);
-  expect.soft(Math.max(...gaps)).toBeLessThan(GAP_MS);
+  expect.soft(Math.max(...gaps)).toBeLessThan(MAX_WRITE_GAP_MS);
   for (const record of records) {
     expect.soft(countFailures(record.failures)).toEqual({});
-    expect.soft(await findBroken(running, record)).toEqual([]);
+    expect.soft(await findGuaranteeViolations(running, record)).toEqual([]);
   }
 });
--- a/test/fleet/vm-death.test.ts
+++ b/test/fleet/vm-death.test.ts
@@ -1,7 +1,7 @@
 import {expect, test} from 'vitest';
 import {
   connect,
-  findBroken,
+  findGuaranteeViolations,
   findHome,
   insert,
   isSqlstate,
@@ -18,7 +18,7 @@
 const FREEZE_SEED = 43;
 const STATEMENTS = 300;
 /** The stated target for service after a failure. */
-const RECOVERY_MS = 12_000;
+const RECOVERY_TIMEOUT_MS = 12_000;
 const FREEZE_MS = 5_000;
 const OPEN_ROW = 'row-of-the-open-transaction';
 
@@ -40,25 +40,29 @@
   );
   expect.soft(told).toSatisfy((err: ClientError) => isSqlstate(err.code));
   for (const node of survivors) {
-    await waitUntil(`${node.vm} serves writes`, RECOVERY_MS, async () => {
-      const probe = await connect(fleet, node).catch(() => undefined);
-      const done = await probe
-        ?.query('INSERT INTO entries (id, team, value) VALUES ($1, $2, $3)', [
-          `probe-${node.vm}-${performance.now()}`,
-          'probe',
-          '1',
-        ])
-        .catch(() => undefined);
-      await probe?.end().catch(() => {});
-      return done;
-    });
+    await waitUntil(
+      `${node.vm} serves writes`,
+      RECOVERY_TIMEOUT_MS,
+      async () => {
+        const probe = await connect(fleet, node).catch(() => undefined);
+        const done = await probe
+          ?.query('INSERT INTO entries (id, team, value) VALUES ($1, $2, $3)', [
+            `probe-${node.vm}-${performance.now()}`,
+            'probe',
+            '1',
+          ])
+          .catch(() => undefined);
+        await probe?.end().catch(() => {});
+        return done;
+      },
+    );
   }
   await waitForProgress(load, STATEMENTS);
   const record = await load.stop();
   await client.end().catch(() => {});
 
   expect.soft(await readEntryIds(fleet)).not.toContain(OPEN_ROW);
-  expect(await findBroken(fleet, record)).toEqual([]);
+  expect(await findGuaranteeViolations(fleet, record)).toEqual([]);
 });
 
 test('a node that is frozen and resumed loses, doubles and ages nothing', async () => {
@@ -71,5 +75,5 @@
   home.process.signal('SIGCONT');
   await waitForProgress(load, STATEMENTS);
   const record = await load.stop();
-  expect(await findBroken(fleet, record)).toEqual([]);
+  expect(await findGuaranteeViolations(fleet, record)).toEqual([]);
 });
