--- a/bench/benches.ts
+++ b/bench/benches.ts
@@ -1,11 +1,11 @@
-/** The benches by name. */
+/** Registry of the benchmarks, by name. */
 
-/** A module of this folder that runs one bench. */
+/** Interface of a benchmark module in this folder. */
 export interface Bench {
   run(args: readonly string[]): Promise<void>;
 }
 
-/** What each bench measures. */
+/** What each benchmark measures, as the usage text prints it. */
 export const BENCHES: ReadonlyMap<string, string> = new Map([
   ['path', 'statements a second, added latency and memory of one node'],
   ['failover', 'the gap when a primary is killed, frozen or cut off'],
@@ -16,9 +16,9 @@
 ]);
 
 /**
- * Loads a bench.
+ * Loads the module of a benchmark.
  *
- * @throws Error that names the missing file
+ * @throws Error if the file does not exist or exports no `run` function
  * @example
  * await (await loadBench('path')).run(['--seconds=5']);
  */
@@ -28,10 +28,9 @@
     loaded = (await import(`./${name}.js`)) as Partial<Bench>;
   } catch (err) {
     if (!isBenchFileMissing(err, name)) throw err;
-    throw new Error(
-      `bench/${name}.ts is not there yet; write it and build again`,
-      {cause: err},
-    );
+    throw new Error(`bench/${name}.ts does not exist or is not built`, {
+      cause: err,
+    });
   }
   const {run} = loaded;
   if (run === undefined) {
@@ -40,7 +39,7 @@
   return {run};
 }
 
-/** Whether the bench's own file is missing, rather than one that it needs. */
+/** True if the benchmark's own file is missing, rather than a module it imports. */
 function isBenchFileMissing(err: unknown, name: string): boolean {
   const {code, message = ''} = err as {code?: string; message?: string};
   return code === 'ERR_MODULE_NOT_FOUND' && message.includes(`/${name}.js'`);
--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,19 +1,19 @@
-/** Loads of the benches on one group, made of the demo's sessions. */
+/** A closed-loop load of {@link SessionLoad} sessions on one database group. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Fleet, FleetNode} from '../demo/fleet.js';
 import {LoadRecord} from '../demo/load-record.js';
 import {SessionLoad, type LoadMix} from '../demo/session-load.js';
 
-/** Sessions of one kind. */
+/** A number of sessions with the same load mix. */
 export interface SessionGroup {
   readonly mix: LoadMix;
   readonly count: number;
 }
 
-/** What a load consists of. */
+/** Options of a load. */
 export interface LoadOptions {
   readonly fleet: Fleet;
-  /** The nodes that the sessions roam over; all where not given. */
+  /** Nodes that the sessions connect to; all nodes by default. */
   readonly nodes?: readonly FleetNode[];
   readonly group: string;
   readonly team: string;
@@ -22,7 +22,7 @@
   readonly seed: number;
 }
 
-/** A load that runs until it is stopped. */
+/** A load that starts when constructed and runs until it is stopped. */
 export class RunningLoad {
   readonly record = new LoadRecord();
   readonly #sessions: Promise<unknown>;
@@ -51,7 +51,7 @@
     this.#sessions = Promise.all(all);
   }
 
-  /** Lets the running statements end. */
+  /** Ends the sessions after their running operations; returns the record. */
   async stop(): Promise<LoadRecord> {
     this.#isStopped = true;
     await this.#sessions;
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,4 @@
-/** `npm run bench -- <name> [options]`: runs one of the benches. */
+/** `npm run bench -- <name> [options]`: runs a benchmark. */
 import {BENCHES, loadBench} from './benches.js';
 
 const [name, ...args] = process.argv.slice(2);
