--- a/bench/load.ts
+++ b/bench/load.ts
@@ -1,32 +1,32 @@
-/** Loads of the benches on one group, made of the demo's sessions. */
+/** A closed-loop load of {@link SessionLoad} sessions on one database group. */
 import {xoroshiro128plus} from 'pure-rand/generator/xoroshiro128plus';
 import type {Fleet, FleetNode} from '../demo/fleet.js';
-import {LoadRecord} from '../demo/record.js';
+import {LoadRecord} from '../demo/load-record.js';
 import {SessionLoad, type LoadMix} from '../demo/session-load.js';
 
-/** Sessions of one kind. */
-export interface SessionsOf {
+/** A number of sessions with the same load mix. */
+export interface SessionGroup {
   readonly mix: LoadMix;
   readonly count: number;
 }
 
-/** What a load consists of. */
+/** Options of a load. */
 export interface LoadOptions {
   readonly fleet: Fleet;
-  /** The nodes that the sessions roam over; all where not given. */
+  /** Nodes that the sessions connect to; all nodes by default. */
   readonly nodes?: readonly FleetNode[];
   readonly group: string;
   readonly team: string;
-  readonly sessions: readonly SessionsOf[];
+  readonly sessions: readonly SessionGroup[];
   readonly paceMs: number;
   readonly seed: number;
 }
 
-/** A load that runs until it is stopped. */
+/** A load that starts when constructed and runs until it is stopped. */
 export class RunningLoad {
   readonly record = new LoadRecord();
   readonly #sessions: Promise<unknown>;
-  #over = false;
+  #isStopped = false;
 
   constructor(options: LoadOptions) {
     const {fleet, group, team, paceMs} = options;
@@ -44,16 +44,16 @@
           paceMs,
           mix,
           random,
-          isOver: () => this.#over,
+          isOver: () => this.#isStopped,
         }).run(),
       ),
     );
     this.#sessions = Promise.all(all);
   }
 
-  /** Lets the running statements end. */
+  /** Ends the sessions after their running operations; returns the record. */
   async stop(): Promise<LoadRecord> {
-    this.#over = true;
+    this.#isStopped = true;
     await this.#sessions;
     return this.record;
   }
