--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -42,12 +42,12 @@
   const fleet = new Fleet({size});
   fleet.startAll();
   await fleet.clock.advance(SETTLE_MS);
-  fleet.net.takeTraffic();
+  fleet.net.drainTraffic();
   const cpuBefore = process.cpuUsage();
   await fleet.clock.advance(MEASUREMENT_MS);
   const {user, system} = process.cpuUsage(cpuBefore);
   const heap = process.memoryUsage().heapUsed - heapBefore;
-  const bytes = [...fleet.net.takeTraffic().values()].map(
+  const bytes = [...fleet.net.drainTraffic().values()].map(
     ({sentBytes, receivedBytes}) =>
       ((sentBytes + receivedBytes) * 1_000) / MEASUREMENT_MS,
   );
--- a/standins/kv/duties.ts
+++ b/standins/kv/failover-orders.ts
@@ -11,7 +11,7 @@
 }) => boolean;
 
 /** HTTP server for failover orders. */
-export class DutyServer {
+export class FailoverOrderServer {
   readonly #server: Server;
 
   private constructor(handle: OrderHandler) {
@@ -35,8 +35,8 @@
     });
   }
 
-  static async start(handle: OrderHandler): Promise<DutyServer> {
-    const duties = new DutyServer(handle);
+  static async start(handle: OrderHandler): Promise<FailoverOrderServer> {
+    const duties = new FailoverOrderServer(handle);
     await new Promise<void>(resolve =>
       duties.#server.listen(0, '127.0.0.1', resolve),
     );
